--- a/internal/admission/twthrottle/bucket.go
+++ b/internal/admission/twthrottle/bucket.go
@@ -3,52 +3,54 @@
 import "time"
 
 const (
-	// burstCalls and burstSeconds, in seconds of its rate, are what a full bucket holds.
+	// burstCalls plus burstSeconds of the rate is the capacity of a bucket.
 	burstCalls   = 3
 	burstSeconds = 0.5
-	// firstCalls is what a bucket holds at first: whoever counted before may have granted all that it had.
-	firstCalls = 1
-	// maxReturn bounds the time to come back.
-	maxReturn = 5 * time.Second
+	// initialCalls is the level of a new bucket. The previous coordinator may have granted all that its bucket held.
+	initialCalls = 1
+	// maxRetryDelay bounds the retry times of refused callers.
+	maxRetryDelay = 5 * time.Second
 )
 
-// bucket is a token bucket. It keeps the steady clock: while a VM is suspended nothing flows in.
+// bucket is a token bucket that holds calls. Its times come from the monotonic clock, so it does not refill while the
+// VM is suspended.
 type bucket struct {
-	level float64
-	at    time.Time
-	// returnAt is when the last caller that was refused may come back.
-	returnAt time.Time
+	level      float64
+	refilledAt time.Time
+	// lastRetryAt is the retry time of the last refused caller.
+	lastRetryAt time.Time
 }
 
-// refill lets in what has flowed at the rate, in calls a second.
+// refill adds the calls that the rate, in calls per second, has allowed since the last refill, up to the capacity.
 func (b *bucket) refill(now time.Time, rate float64) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.level += passed * rate
-		b.at = now
+	if elapsed := now.Sub(b.refilledAt).Seconds(); elapsed > 0 {
+		b.level += elapsed * rate
+		b.refilledAt = now
 	}
 	b.level = min(b.level, burstCalls+burstSeconds*rate)
 }
 
-// take grants up to count calls.
-func (b *bucket) take(count int) int {
+// grant removes up to count calls from the bucket and returns their number.
+func (b *bucket) grant(count int) int {
 	granted := max(min(count, int(b.level)), 0)
 	b.level -= float64(granted)
 	return granted
 }
 
-// nextAt is when the bucket holds a call.
-func (b *bucket) nextAt(now time.Time, rate float64) time.Time {
+// nextCallAt returns the time at which the bucket holds a complete call.
+func (b *bucket) nextCallAt(now time.Time, rate float64) time.Time {
 	return now.Add(seconds(max(1-b.level, 0) / rate))
 }
 
-// invite chooses when a refused caller may come back: one after the other, as fast as calls flow in.
-func (b *bucket) invite(now time.Time, rate float64) time.Time {
-	at := b.nextAt(now, rate)
-	if b.returnAt.After(now) {
-		at = b.returnAt.Add(seconds(1 / rate))
+// assignRetryTime returns the time at which a refused caller may retry. Retry times are spaced at the rate, so that
+// refused callers do not all retry at once.
+func (b *bucket) assignRetryTime(now time.Time, rate float64) time.Time {
+	at := b.nextCallAt(now, rate)
+	if b.lastRetryAt.After(now) {
+		at = b.lastRetryAt.Add(seconds(1 / rate))
 	}
-	b.returnAt = earlier(at, now.Add(maxReturn))
-	return b.returnAt
+	b.lastRetryAt = earlier(at, now.Add(maxRetryDelay))
+	return b.lastRetryAt
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/admission/twthrottle/slots.go
+++ b/internal/admission/twthrottle/slots.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// slotSpan is how long a slot may be used.
-const slotSpan = 500 * time.Millisecond
+// slotValidity is how long after its start a send slot may be used.
+const slotValidity = 500 * time.Millisecond
 
-// slots deal an upstream's rate out to daemons that can't ask anybody.
+// sendSlots divides an upstream's rate among daemons that reach no rate coordinator.
 //
-// Since the last heartbeat one slot after the other belongs to the daemons in the order of their ranks. A slot that isn't
-// used in time is lost: if daemons could save theirs, hundreds of them would spend them at once.
-type slots struct {
-	// base is the heartbeat that the slots are counted from, and used the last slot of this daemon that was taken.
-	base time.Time
-	used int64
+// From the last heartbeat on, send slots follow each other at the rate and are assigned to the daemons in the order of
+// their ranks. A slot that is not used in time is lost: if daemons could save slots, hundreds of them would use the
+// saved ones at once.
+type sendSlots struct {
+	// heartbeatAt is the heartbeat from which slots are counted; lastUsed is the last slot that this daemon used.
+	heartbeatAt time.Time
+	lastUsed    int64
 }
 
-// take takes a slot of the daemon with the rank, of so many daemons; base is when the last heartbeat came. When there is
-// none, next is when the daemon's next slot begins.
-func (s *slots) take(now, base time.Time, rate float64, rank, daemons int) (ok bool, next time.Time) {
-	if !s.base.Equal(base) {
-		s.base, s.used = base, -1
+// use takes a slot of the daemon with the given rank among daemons; heartbeatAt is when the last heartbeat was
+// received. If no slot is available, ok is false and next is the start of this daemon's next slot.
+func (s *sendSlots) use(now, heartbeatAt time.Time, rate float64, rank, daemons int) (ok bool, next time.Time) {
+	if !s.heartbeatAt.Equal(heartbeatAt) {
+		s.heartbeatAt, s.lastUsed = heartbeatAt, -1
 	}
-	turn := float64(daemons) / rate
-	offset := float64(rank+1) / rate
-	newest := int64(math.Floor((now.Sub(base).Seconds() - offset) / turn))
-	oldest := int64(math.Ceil((now.Sub(base).Seconds() - slotSpan.Seconds() - offset) / turn))
-	slot := max(s.used+1, oldest, 0)
+	cycleSeconds := float64(daemons) / rate
+	offsetSeconds := float64(rank+1) / rate
+	newest := int64(math.Floor((now.Sub(heartbeatAt).Seconds() - offsetSeconds) / cycleSeconds))
+	oldest := int64(math.Ceil((now.Sub(heartbeatAt).Seconds() - slotValidity.Seconds() - offsetSeconds) / cycleSeconds))
+	slot := max(s.lastUsed+1, oldest, 0)
 	if slot <= newest {
-		s.used = slot
+		s.lastUsed = slot
 		return true, now
 	}
-	return false, base.Add(seconds(offset + turn*float64(max(newest+1, 0))))
+	return false, heartbeatAt.Add(seconds(offsetSeconds + cycleSeconds*float64(max(newest+1, 0))))
 }
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -1,9 +1,10 @@
-// Package twthrottle keeps sends within what upstreams say that they take: the rate for all daemons together, and the time in
-// which an upstream wants no call from this one.
+// Package twthrottle keeps the sends of all daemons together within the rates that upstreams state, and keeps this
+// daemon's sends out of the back-off that an upstream asked it for. It admits each send after the upstream is chosen
+// and before anything is sent.
 //
-// One daemon counts for all, with a token bucket for each upstream that states a rate: the leader, or a standby while there is
-// no leader. The others ask it before they send. A daemon that reaches none of them uses its own slots of the rate; the leader
-// leaves the slots of unreachable daemons to them.
+// One daemon is the rate coordinator and holds a token bucket for each upstream that states a rate: the leader, or a
+// standby while there is no leader. The other daemons request sends from it. A daemon that reaches no coordinator uses
+// its own send slots of the rate; the leader leaves the share of unreachable daemons to them.
 package twthrottle
 
 import (
@@ -19,156 +20,163 @@
 )
 
 const (
-	// leastRate is used for an upstream that states a lower one, in calls a second: without calls nobody would hear that the
-	// rate is lifted.
-	leastRate = 0.25
-	// askLimit ends an ask: some round trips between regions, and less than a target has room for.
-	askLimit = 100 * time.Millisecond
-	// failedSpan is how long a daemon that did not answer is not asked again.
-	failedSpan = 300 * time.Millisecond
-	// grantSpan is how long granted sends may be used.
-	grantSpan = 500 * time.Millisecond
-	// demandSpan is the span whose sends are asked for at once.
-	demandSpan = 250 * time.Millisecond
-	// askPause is the least pause between two asks of one daemon that is granted none, for each daemon: all together ask at
-	// most 500 times a second.
-	askPause = 2 * time.Millisecond
-	// countSpan is how long a count of the daemons is used: counting hundreds of them for each call is costly.
-	countSpan = 100 * time.Millisecond
-	// leaderlessRetry bounds the time to come back while nobody counts: a new leader is soon there.
-	leaderlessRetry = time.Second
+	// minRatePerSecond replaces lower stated rates. Upstreams lift a rate in their answers, so without any calls no
+	// daemon would learn of it.
+	minRatePerSecond = 0.25
+	// requestTimeout allows for some round trips between regions and stays below the slack of a latency target.
+	requestTimeout = 100 * time.Millisecond
+	// failedPeerBackoff is how long no request is sent to a daemon that failed to answer one.
+	failedPeerBackoff = 300 * time.Millisecond
+	// grantValidity is how long granted sends may be used.
+	grantValidity = 500 * time.Millisecond
+	// demandWindow is the time whose sends are requested at once.
+	demandWindow = 250 * time.Millisecond
+	// requestPausePerDaemon, times the number of daemons, is the minimum pause of a daemon after a request that was
+	// granted no sends. All daemons together then make at most 500 such requests per second.
+	requestPausePerDaemon = 2 * time.Millisecond
+	// daemonCountMaxAge is how long a count of the daemons is cached: counting hundreds of them for each call is
+	// costly.
+	daemonCountMaxAge = 100 * time.Millisecond
+	// maxLeaderlessRetryDelay bounds retry times while no daemon coordinates, since a new leader is expected shortly.
+	maxLeaderlessRetryDelay = time.Second
 )
 
-// errNoAnswer tells that a daemon gave no answer lately.
-var errNoAnswer = errors.New("the daemon did not answer lately; ask it later")
+// errRecentlyFailed is returned for a daemon to which no request is sent because it failed to answer one shortly
+// before.
+var errRecentlyFailed = errors.New("daemon failed to answer the last rate request; request again later")
 
-// Config says what a throttle works with.
+// Config holds the dependencies of a Throttle.
 type Config struct {
 	Rates    *twrates.Rates
 	Backoffs *twbackoff.Backoffs
-	// Peers carries asks to other daemons.
+	// Peers sends requests to other daemons.
 	Peers turmericwall.PeerClient
 	Self  turmericwall.Member
-	// Leader returns the live leader; self tells that it is this daemon.
+	// Leader returns the live leader; self is set when it is this daemon, ok when there is one.
 	Leader func() (leader turmericwall.Member, self, ok bool)
-	// Standbys are the other standbys of the last leader, and StandbyRank is this daemon's place among all of them, or -1.
+	// Standbys returns the other standbys of the last leader. StandbyRank returns this daemon's position among all
+	// standbys, or -1 if it is none.
 	Standbys    func() []turmericwall.Member
 	StandbyRank func() int
-	// Rank is this daemon's place among all by the last heartbeat, how many there were, 0 while that is unknown, and when it
-	// came.
+	// Rank returns this daemon's rank among all daemons in the last heartbeat, their number, which is 0 while it is
+	// unknown, and the time at which the heartbeat was received.
 	Rank func() (rank, daemons int, at time.Time)
-	// Daemons is the number of live daemons, and Absent how many more answered this one lately, while it leads.
+	// Daemons returns the number of live daemons. Absent returns how many more answered this daemon recently, while it
+	// is the leader.
 	Daemons func() int
 	Absent  func() int
-	// Now is the time by the steady clock.
+	// Now returns the time of the monotonic clock.
 	Now func() time.Time
 }
 
-// Throttle is one daemon's part in the count.
+// Throttle admits one daemon's sends and, while the daemon is the rate coordinator, grants sends to all daemons.
 type Throttle struct {
 	config Config
 	mu     sync.Mutex
-	// buckets are those of all daemons while this one counts for all.
-	buckets  map[turmericwall.UpstreamKey]*bucket
-	counting bool
-	shares   map[turmericwall.UpstreamKey]*share
-	// failedUntil tells which daemons did not answer lately, by address.
+	// buckets hold the sends of all daemons; they are valid while coordinating is set.
+	buckets      map[turmericwall.UpstreamKey]*bucket
+	coordinating bool
+	allowances   map[turmericwall.UpstreamKey]*allowance
+	// failedUntil is the end of failedPeerBackoff, by the daemon's address.
 	failedUntil map[string]time.Time
-	// size is the last count of the daemons.
-	size size
+	// cluster is the last count of the daemons.
+	cluster clusterSize
 }
 
-// size is how many daemons live, and how many more answered the leader lately.
-type size struct {
+// clusterSize is the number of live daemons, and of those that are not live but answered the leader recently.
+type clusterSize struct {
 	daemons, absent int
-	until           time.Time
+	validUntil      time.Time
 }
 
-// share is what this daemon may send to one upstream.
-type share struct {
-	granted    int
-	grantedEnd time.Time
-	// closedUntil is when the next ask may be made, and retryAt when the last refused caller may come back.
-	closedUntil, retryAt time.Time
-	slots                slots
-	// wanted are the sends since spanEnd less demandSpan, and wantedBefore those of the span before.
-	wanted, wantedBefore int
-	spanEnd              time.Time
+// allowance is what this daemon may send to one upstream.
+type allowance struct {
+	granted      int
+	grantedUntil time.Time
+	// nextRequestAt is when the next request may be made; retryAt is the retry time of the last refused caller.
+	nextRequestAt, retryAt time.Time
+	slots                  sendSlots
+	// demand counts the sends in the demandWindow that ends at windowEnd, previousDemand those in the window before.
+	demand, previousDemand int
+	windowEnd              time.Time
 }
 
 // New returns a throttle that has admitted nothing.
 func New(config Config) *Throttle {
 	return &Throttle{
-		config: config, buckets: make(map[turmericwall.UpstreamKey]*bucket), shares: make(map[turmericwall.UpstreamKey]*share),
-		failedUntil: make(map[string]time.Time),
+		config: config, buckets: make(map[turmericwall.UpstreamKey]*bucket),
+		allowances: make(map[turmericwall.UpstreamKey]*allowance), failedUntil: make(map[string]time.Time),
 	}
 }
 
-// Admit takes one send to the upstream. The error is a *Problem that says when to come back.
+// Admit admits one send to the upstream. The error is a *Problem with a retry time.
 func (t *Throttle) Admit(ctx context.Context, upstream turmericwall.UpstreamKey) error {
 	if until := t.ClosedUntil(upstream); !until.IsZero() {
 		return turmericwall.NewProblem(turmericwall.KindOverloaded,
-			fmt.Sprintf("the upstream %s wants no call from this daemon for now", upstream.ID), "come back at the time given").WithRetryAt(until)
+			fmt.Sprintf("the upstream %s wants no call from this daemon for now", upstream.ID),
+			"retry at the time in Retry-After").WithRetryAt(until)
 	}
 	stated, limited := t.config.Rates.Statement(upstream)
 	if !limited {
 		return nil
 	}
-	rate := max(stated.PerSecond, leastRate)
-	count, err := t.takeGranted(upstream, rate)
+	rate := max(stated.PerSecond, minRatePerSecond)
+	count, err := t.useGrantedSend(upstream, rate)
 	if count == 0 {
 		return err
 	}
-	ask := turmericwall.AdmitAsk{Rate: stated, Count: count}
-	for _, counter := range t.counters() {
-		reply, err := t.ask(ctx, counter, ask)
+	request := turmericwall.AdmitAsk{Rate: stated, Count: count}
+	for _, candidate := range t.coordinatorCandidates() {
+		reply, err := t.requestGrant(ctx, candidate, request)
 		if err != nil || reply.Declined {
 			continue
 		}
-		return t.takeReply(upstream, reply)
+		return t.applyReply(upstream, reply)
 	}
-	return t.takeSlot(upstream, rate)
+	return t.useSlot(upstream, rate)
 }
 
-// ClosedUntil is when an upstream that wants no call from this daemon takes one again; zero when it takes one now.
+// ClosedUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
 func (t *Throttle) ClosedUntil(upstream turmericwall.UpstreamKey) time.Time {
 	return t.config.Backoffs.Until(t.config.Now(), upstream)
 }
 
-// takeGranted takes a send that was granted before; else count tells how many to ask for, and is 0 when it is too early to ask.
-func (t *Throttle) takeGranted(upstream turmericwall.UpstreamKey, rate float64) (count int, err error) {
-	now, daemons := t.config.Now(), t.count().daemons
+// useGrantedSend uses a send that was granted before. If there is none, count is the number of sends to request; it is
+// 0, with an error, if the next request may not be made yet.
+func (t *Throttle) useGrantedSend(upstream turmericwall.UpstreamKey, rate float64) (count int, err error) {
+	now, daemons := t.config.Now(), t.countDaemons().daemons
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.share(upstream)
-	s.want(now)
-	if s.granted > 0 && now.Before(s.grantedEnd) {
-		s.granted--
+	a := t.allowance(upstream)
+	a.recordDemand(now)
+	if a.granted > 0 && now.Before(a.grantedUntil) {
+		a.granted--
 		return 0, nil
 	}
-	s.granted = 0
-	if now.Before(s.closedUntil) {
-		return 0, s.refuse(now, upstream, later(s.closedUntil, s.retryAt.Add(seconds(float64(daemons)/rate))))
+	a.granted = 0
+	if now.Before(a.nextRequestAt) {
+		return 0, a.refuse(now, upstream, later(a.nextRequestAt, a.retryAt.Add(seconds(float64(daemons)/rate))))
 	}
-	most := max(int(rate*demandSpan.Seconds()), 1)
-	return min(max(s.wantedBefore, 1), most), nil
+	maxCount := max(int(rate*demandWindow.Seconds()), 1)
+	return min(max(a.previousDemand, 1), maxCount), nil
 }
 
-// want counts a send that is wanted.
-func (s *share) want(now time.Time) {
-	if now.After(s.spanEnd) {
-		s.wantedBefore = s.wanted
-		if now.Sub(s.spanEnd) > demandSpan {
-			s.wantedBefore = 0
+// recordDemand counts one send that a caller asked for, whether it is admitted or not.
+func (a *allowance) recordDemand(now time.Time) {
+	if now.After(a.windowEnd) {
+		a.previousDemand = a.demand
+		if now.Sub(a.windowEnd) > demandWindow {
+			a.previousDemand = 0
 		}
-		s.wanted = 0
-		s.spanEnd = now.Add(demandSpan)
+		a.demand = 0
+		a.windowEnd = now.Add(demandWindow)
 	}
-	s.wanted++
+	a.demand++
 }
 
-// counters are the daemons that may count for all, in the order in which they are asked; the lock is not held.
-func (t *Throttle) counters() []turmericwall.Member {
+// coordinatorCandidates returns the daemons that may be the rate coordinator, in the order in which they are requested.
+// The lock must not be held.
+func (t *Throttle) coordinatorCandidates() []turmericwall.Member {
 	if leader, _, ok := t.config.Leader(); ok {
 		return []turmericwall.Member{leader}
 	}
@@ -180,74 +188,78 @@
 	return list
 }
 
-// ask asks one daemon, which may be this one.
-func (t *Throttle) ask(ctx context.Context, counter turmericwall.Member, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
-	if counter == t.config.Self {
-		return t.Grant(ask), nil
+// requestGrant requests sends from one daemon, which may be this one.
+func (t *Throttle) requestGrant(
+	ctx context.Context, candidate turmericwall.Member, request turmericwall.AdmitAsk,
+) (turmericwall.AdmitReply, error) {
+	if candidate == t.config.Self {
+		return t.Grant(request), nil
 	}
 	t.mu.Lock()
-	failed := t.config.Now().Before(t.failedUntil[counter.Address])
+	failed := t.config.Now().Before(t.failedUntil[candidate.Address])
 	t.mu.Unlock()
 	if failed {
-		return turmericwall.AdmitReply{}, errNoAnswer
+		return turmericwall.AdmitReply{}, errRecentlyFailed
 	}
-	askCtx, cancel := context.WithTimeout(ctx, askLimit)
+	requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	reply, err := t.config.Peers.Admit(askCtx, counter.Address, ask)
+	reply, err := t.config.Peers.Admit(requestCtx, candidate.Address, request)
 	if err == nil || ctx.Err() != nil {
-		// A caller that left says nothing of the daemon that was asked.
+		// An error after the caller's own context ended is not the peer's failure.
 		return reply, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.failedUntil[counter.Address] = t.config.Now().Add(failedSpan)
+	t.failedUntil[candidate.Address] = t.config.Now().Add(failedPeerBackoff)
 	return reply, err
 }
 
-// takeReply takes what was granted, and one send of it.
-func (t *Throttle) takeReply(upstream turmericwall.UpstreamKey, reply turmericwall.AdmitReply) error {
+// applyReply records the granted sends and uses one of them.
+func (t *Throttle) applyReply(upstream turmericwall.UpstreamKey, reply turmericwall.AdmitReply) error {
 	now := t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.share(upstream)
+	a := t.allowance(upstream)
 	if reply.Granted > 0 {
-		if !now.Before(s.grantedEnd) {
-			s.granted = 0
+		if !now.Before(a.grantedUntil) {
+			a.granted = 0
 		}
-		s.granted += reply.Granted - 1
-		s.grantedEnd = now.Add(grantSpan)
+		a.granted += reply.Granted - 1
+		a.grantedUntil = now.Add(grantValidity)
 		return nil
 	}
-	s.closedUntil = earlier(now.Add(time.Duration(reply.NextMillis)*time.Millisecond), now.Add(maxReturn))
-	return s.refuse(now, upstream, now.Add(time.Duration(reply.RetryMillis)*time.Millisecond))
+	a.nextRequestAt = earlier(now.Add(time.Duration(reply.NextMillis)*time.Millisecond), now.Add(maxRetryDelay))
+	return a.refuse(now, upstream, now.Add(time.Duration(reply.RetryMillis)*time.Millisecond))
 }
 
-// takeSlot takes a slot of this daemon's own, because nobody counts for it. While a leader lives, it counts for this daemon too.
-func (t *Throttle) takeSlot(upstream turmericwall.UpstreamKey, rate float64) error {
-	_, _, led := t.config.Leader()
-	rank, daemons, base := t.config.Rank()
+// useSlot uses a send slot of this daemon because no coordinator answered. While there is a leader, its bucket includes
+// this daemon's share of the rate, so the send is refused.
+func (t *Throttle) useSlot(upstream turmericwall.UpstreamKey, rate float64) error {
+	_, _, hasLeader := t.config.Leader()
+	rank, daemons, heartbeatAt := t.config.Rank()
 	now := t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.share(upstream)
-	if led || daemons == 0 {
-		return s.refuse(now, upstream, now.Add(failedSpan))
+	a := t.allowance(upstream)
+	if hasLeader || daemons == 0 {
+		return a.refuse(now, upstream, now.Add(failedPeerBackoff))
 	}
-	ok, next := s.slots.take(now, base, rate, rank, daemons)
+	ok, next := a.slots.use(now, heartbeatAt, rate, rank, daemons)
 	if !ok {
-		return s.refuse(now, upstream, earlier(next, now.Add(leaderlessRetry)))
+		return a.refuse(now, upstream, earlier(next, now.Add(maxLeaderlessRetryDelay)))
 	}
 	return nil
 }
 
-// refuse says when the caller may come back.
-func (s *share) refuse(now time.Time, upstream turmericwall.UpstreamKey, at time.Time) error {
-	s.retryAt = earlier(at, now.Add(maxReturn))
+// refuse returns the refusal of a send with the retry time, which it bounds and records.
+func (a *allowance) refuse(now time.Time, upstream turmericwall.UpstreamKey, at time.Time) error {
+	a.retryAt = earlier(at, now.Add(maxRetryDelay))
 	return turmericwall.NewProblem(turmericwall.KindOverloaded,
-		fmt.Sprintf("the upstream %s takes no more calls a second", upstream.ID), "come back at the time given").WithRetryAt(s.retryAt)
+		fmt.Sprintf("the upstream %s takes no more calls a second", upstream.ID),
+		"retry at the time in Retry-After").WithRetryAt(a.retryAt)
 }
 
-// Return gives back a send that was not made.
+// Return returns an admitted send that was not made, so that this daemon may use it for another call.
 func (t *Throttle) Return(upstream turmericwall.UpstreamKey) {
 	if _, limited := t.config.Rates.Rate(upstream); !limited {
 		return
@@ -255,106 +267,109 @@
 	now := t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.share(upstream)
-	if !now.Before(s.grantedEnd) {
-		s.granted = 0
-		s.grantedEnd = now.Add(grantSpan)
+	a := t.allowance(upstream)
+	if !now.Before(a.grantedUntil) {
+		a.granted = 0
+		a.grantedUntil = now.Add(grantValidity)
 	}
-	s.granted++
+	a.granted++
 }
 
-// Grant answers an ask as the daemon that counts for all.
-func (t *Throttle) Grant(ask turmericwall.AdmitAsk) turmericwall.AdmitReply {
-	t.config.Rates.TakeList([]turmericwall.UpstreamRate{ask.Rate})
-	if !t.counts() {
+// Grant answers a daemon's request for sends. The reply is declined if this daemon is not the rate coordinator.
+func (t *Throttle) Grant(request turmericwall.AdmitAsk) turmericwall.AdmitReply {
+	t.config.Rates.TakeList([]turmericwall.UpstreamRate{request.Rate})
+	if !t.updateCoordinating() {
 		return turmericwall.AdmitReply{Declined: true}
 	}
-	key := ask.Rate.Key()
+	key := request.Rate.Key()
 	rate, limited := t.config.Rates.Rate(key)
 	if !limited {
-		return turmericwall.AdmitReply{Granted: max(ask.Count, 0)}
+		return turmericwall.AdmitReply{Granted: max(request.Count, 0)}
 	}
-	rate = max(rate, leastRate)
-	now, size := t.config.Now(), t.count()
-	present := size.presentShare()
+	rate = max(rate, minRatePerSecond)
+	now, cluster := t.config.Now(), t.countDaemons()
+	live := cluster.liveFraction()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	b := t.bucket(now, key, rate*present)
-	if granted := b.take(ask.Count); granted > 0 {
+	b := t.bucket(now, key, rate*live)
+	if granted := b.grant(request.Count); granted > 0 {
 		return turmericwall.AdmitReply{Granted: granted}
 	}
-	next := later(b.nextAt(now, rate*present), now.Add(time.Duration(size.daemons)*askPause))
+	next := later(b.nextCallAt(now, rate*live), now.Add(time.Duration(cluster.daemons)*requestPausePerDaemon))
 	return turmericwall.AdmitReply{
-		NextMillis: millis(next.Sub(now)), RetryMillis: millis(b.invite(now, rate*present).Sub(now)),
+		NextMillis: ceilMillis(next.Sub(now)), RetryMillis: ceilMillis(b.assignRetryTime(now, rate*live).Sub(now)),
 	}
 }
 
-// counts tells that this daemon counts for all.
-func (t *Throttle) counts() bool {
-	_, leading, led := t.config.Leader()
-	counts := leading || (!led && t.config.StandbyRank() >= 0)
+// updateCoordinating determines whether this daemon is the rate coordinator. A daemon that becomes the coordinator
+// starts with new buckets, since the ones from an earlier time in that role are stale.
+func (t *Throttle) updateCoordinating() bool {
+	_, leading, hasLeader := t.config.Leader()
+	coordinating := leading || (!hasLeader && t.config.StandbyRank() >= 0)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if counts && !t.counting {
+	if coordinating && !t.coordinating {
 		clear(t.buckets)
 	}
-	t.counting = counts
-	return counts
+	t.coordinating = coordinating
+	return coordinating
 }
 
-// count counts the daemons. The cluster is asked without holding the lock, since it may wait for its own.
-func (t *Throttle) count() size {
+// countDaemons returns the size of the cluster, which is cached for daemonCountMaxAge. It calls the cluster without
+// holding the lock, since the cluster may block on its own.
+func (t *Throttle) countDaemons() clusterSize {
 	now := t.config.Now()
 	t.mu.Lock()
-	last := t.size
+	last := t.cluster
 	t.mu.Unlock()
-	if now.Before(last.until) {
+	if now.Before(last.validUntil) {
 		return last
 	}
-	next := size{daemons: t.config.Daemons(), until: now.Add(countSpan)}
+	next := clusterSize{daemons: t.config.Daemons(), validUntil: now.Add(daemonCountMaxAge)}
 	if _, leading, _ := t.config.Leader(); leading {
 		next.absent = t.config.Absent()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.size = next
+	t.cluster = next
 	return next
 }
 
-// presentShare is the part of all daemons that ask the one that counts; the others may use their slots.
-func (s size) presentShare() float64 {
+// liveFraction returns the fraction of the daemons that request sends from the coordinator. The others may use their
+// send slots.
+func (s clusterSize) liveFraction() float64 {
 	daemons := max(s.daemons, 1)
 	return float64(daemons) / float64(daemons+s.absent)
 }
 
-// Open tells that a send to the upstream may be admitted now.
+// Open reports whether a send to the upstream may be admitted now.
 func (t *Throttle) Open(upstream turmericwall.UpstreamKey) bool {
 	rate, limited := t.config.Rates.Rate(upstream)
 	if !limited {
 		return true
 	}
-	counts, present, now := t.counts(), t.count().presentShare(), t.config.Now()
+	coordinating, live, now := t.updateCoordinating(), t.countDaemons().liveFraction(), t.config.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s, ok := t.shares[upstream]; ok && s.granted > 0 && now.Before(s.grantedEnd) {
+	if a, ok := t.allowances[upstream]; ok && a.granted > 0 && now.Before(a.grantedUntil) {
 		return true
 	}
-	if counts {
-		return t.bucket(now, upstream, max(rate, leastRate)*present).level >= 1
+	if coordinating {
+		return t.bucket(now, upstream, max(rate, minRatePerSecond)*live).level >= 1
 	}
-	s, ok := t.shares[upstream]
-	return !ok || !now.Before(s.closedUntil)
+	a, ok := t.allowances[upstream]
+	return !ok || !now.Before(a.nextRequestAt)
 }
 
-// Forget drops what was counted of upstreams that state no rate any more. It is called several times a second, so that this
-// daemon notices soon that it no longer counts for all.
+// Forget discards the state of upstreams that no longer state a rate, and expired back-offs of peers. It must be called
+// several times per second, because it also detects that this daemon is no longer the rate coordinator.
 func (t *Throttle) Forget() {
-	t.counts()
+	t.updateCoordinating()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for key := range t.shares {
+	for key := range t.allowances {
 		if _, limited := t.config.Rates.Rate(key); !limited {
-			delete(t.shares, key)
+			delete(t.allowances, key)
 			delete(t.buckets, key)
 		}
 	}
@@ -371,24 +386,26 @@
 	}
 }
 
-func (t *Throttle) share(upstream turmericwall.UpstreamKey) *share {
-	s, ok := t.shares[upstream]
+// allowance returns the upstream's allowance and creates it if necessary; the lock is held.
+func (t *Throttle) allowance(upstream turmericwall.UpstreamKey) *allowance {
+	a, ok := t.allowances[upstream]
 	if !ok {
-		s = &share{}
-		t.shares[upstream] = s
+		a = &allowance{}
+		t.allowances[upstream] = a
 	}
-	return s
+	return a
 }
 
+// bucket returns the upstream's bucket, refilled up to now; the lock is held.
 func (t *Throttle) bucket(now time.Time, upstream turmericwall.UpstreamKey, rate float64) *bucket {
 	b, ok := t.buckets[upstream]
 	if !ok {
-		b = &bucket{level: firstCalls, at: now}
+		b = &bucket{level: initialCalls, refilledAt: now}
 		t.buckets[upstream] = b
 	}
 	b.refill(now, rate)
 	return b
 }
 
-// millis rounds up, so that nobody comes too early.
-func millis(d time.Duration) int64 { return max((d + time.Millisecond - 1).Milliseconds(), 0) }
+// ceilMillis rounds up to whole milliseconds, so that no request or retry is made too early.
+func ceilMillis(d time.Duration) int64 { return max((d + time.Millisecond - 1).Milliseconds(), 0) }
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -21,19 +21,20 @@
 	leader = turmericwall.Member{Name: "leader", Address: "l:1"}
 )
 
-// peers answers asks as the leader would.
-type peers struct {
+// fakePeers answers every request with the same reply, in place of the leader.
+type fakePeers struct {
 	turmericwall.PeerClient
-	reply turmericwall.AdmitReply
-	asked []turmericwall.AdmitAsk
+	reply    turmericwall.AdmitReply
+	requests []turmericwall.AdmitAsk
 }
 
-func (p *peers) Admit(ctx context.Context, _ string, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
-	p.asked = append(p.asked, ask)
+func (p *fakePeers) Admit(ctx context.Context, _ string, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+	p.requests = append(p.requests, ask)
 	return p.reply, ctx.Err()
 }
 
-func follower(now *time.Time, p *peers, backoffs *twbackoff.Backoffs) *twthrottle.Throttle {
+// newFollower returns the throttle of a daemon that has a leader, before an upstream that states 2 calls per second.
+func newFollower(now *time.Time, p *fakePeers, backoffs *twbackoff.Backoffs) *twthrottle.Throttle {
 	clock := func() time.Time { return *now }
 	rates := twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: clock})
 	rates.Take(key, turmericwall.UpstreamStatement{SentAt: *now, ReceivedAt: *now, PerSecond: 2, RateStated: true})
@@ -41,55 +42,57 @@
 		Rates: rates, Backoffs: backoffs, Peers: p, Self: turmericwall.Member{Name: "self", Address: "s:1"}, Now: clock,
 		Leader:   func() (turmericwall.Member, bool, bool) { return leader, false, true },
 		Standbys: func() []turmericwall.Member { return nil }, StandbyRank: func() int { return -1 },
-		Rank: func() (int, int, time.Time) { return 0, 6, *now }, Daemons: func() int { return 6 }, Absent: func() int { return 0 },
+		Rank: func() (int, int, time.Time) { return 0, 6, *now }, Daemons: func() int { return 6 },
+		Absent: func() int { return 0 },
 	})
 }
 
-// Guards against a leader that counts as failed because a caller left while it was asked.
-func TestACallerThatLeavesSaysNothingOfTheLeader(t *testing.T) {
+// Guards against taking the leader for failed because a caller cancelled its call during the request to the leader.
+func TestCancelledCallerDoesNotMarkLeaderAsFailed(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-	p := &peers{reply: turmericwall.AdmitReply{Granted: 1}}
-	throttle := follower(&now, p, twbackoff.New())
-	left, leave := context.WithCancel(context.Background())
-	leave()
-	g.Expect(throttle.Admit(left, key)).NotTo(Succeed())
+	p := &fakePeers{reply: turmericwall.AdmitReply{Granted: 1}}
+	throttle := newFollower(&now, p, twbackoff.New())
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	g.Expect(throttle.Admit(cancelled, key)).NotTo(Succeed())
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed())
 }
 
-// Guards against asks for each call while the upstream takes none.
-func TestALeaderThatGrantsNothingIsNotAskedAgainBeforeItsTime(t *testing.T) {
+// Guards against a request to the leader for each call while the upstream's rate is used up.
+func TestNoRequestBeforeTheTimeThatTheLeaderGave(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-	p := &peers{reply: turmericwall.AdmitReply{NextMillis: 500, RetryMillis: 900}}
-	throttle := follower(&now, p, twbackoff.New())
+	p := &fakePeers{reply: turmericwall.AdmitReply{NextMillis: 500, RetryMillis: 900}}
+	throttle := newFollower(&now, p, twbackoff.New())
 	for range 5 {
 		var problem *turmericwall.Problem
 		g.Expect(errors.As(throttle.Admit(context.Background(), key), &problem)).To(BeTrue())
 		g.Expect(problem.RetryAt().Sub(now)).To(BeNumerically(">=", 500*time.Millisecond))
 		g.Expect(problem.RetryAt().Sub(now)).To(BeNumerically("<=", 5*time.Second))
 	}
-	g.Expect(p.asked).To(HaveLen(1))
+	g.Expect(p.requests).To(HaveLen(1))
 	g.Expect(throttle.Open(key)).To(BeFalse())
 	now = now.Add(500 * time.Millisecond)
 	p.reply = turmericwall.AdmitReply{Granted: 2}
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed())
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed())
-	g.Expect(p.asked).To(HaveLen(2), "the second send was granted with the first")
+	g.Expect(p.requests).To(HaveLen(2), "the second send was granted with the first one")
 	now = now.Add(time.Second)
 	throttle.Return(key)
-	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed(), "a send that was given back")
-	g.Expect(p.asked).To(HaveLen(2))
+	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed(), "uses the returned send")
+	g.Expect(p.requests).To(HaveLen(2))
 }
 
-func TestAnUpstreamThatAskedToBackOffIsNotAskedFor(t *testing.T) {
+// Guards against requests to the leader for an upstream that asked this daemon to back off.
+func TestNoRequestForAnUpstreamInBackOff(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-	p, backoffs := &peers{}, twbackoff.New()
-	throttle := follower(&now, p, backoffs)
+	p, backoffs := &fakePeers{}, twbackoff.New()
+	throttle := newFollower(&now, p, backoffs)
 	backoffs.Take(now, key, now.Add(3*time.Second))
 	var problem *turmericwall.Problem
 	g.Expect(errors.As(throttle.Admit(context.Background(), key), &problem)).To(BeTrue())
 	g.Expect(problem.RetryAt()).To(Equal(now.Add(3 * time.Second)))
-	g.Expect(p.asked).To(BeEmpty())
+	g.Expect(p.requests).To(BeEmpty())
 }
