--- a/internal/admission/twquota/bound_test.go
+++ b/internal/admission/twquota/bound_test.go
@@ -11,39 +11,41 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// The bound that the operator sets: over any window, with an overage and a slack for what the daemons can't know.
+// The operator's bound on the use in any window: the quota, the fraction overage of it and slackUnits in addition.
 const (
 	windowSeconds = 8
 	overage       = 0.1
 	slackUnits    = 120_000
 )
 
-// ran is what one account ran in each tenth of a second.
-type ran []float64
+// unitsPerTick are the units of one account's admitted calls in each tick of 0.1 s.
+type unitsPerTick []float64
 
-func (r ran) most(ticks int) float64 {
+// maxInWindow returns the most units in any window of the given number of ticks.
+func (u unitsPerTick) maxInWindow(ticks int) float64 {
 	most, sum := 0.0, 0.0
-	for i, units := range r {
+	for i, units := range u {
 		sum += units
 		if i >= ticks {
-			sum -= r[i-ticks]
+			sum -= u[i-ticks]
 		}
 		most = max(most, sum)
 	}
 	return most
 }
 
-// Guards against an account that runs far over its quota while daemons are cut off and leaders change, and against calls
-// refused of one that stays below it.
+// Guards against an account whose admitted calls exceed its quota by more than the tolerance while daemons are
+// partitioned and leaders change, and against refused calls of an account below its quota.
 func TestNoAccountRunsOverItsBound(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
-		// rate is the quota's, of which one account asks hot times as much.
+		// rate is the quota's, in units per second. One account requests hot times as much.
 		rate, hot float64
 		// units is what a model call counts as.
 		units float64
-		// refused is the share of the other account's calls that may be refused, by daemons without a leader too.
-		refused float64
+		// maxRefused is the fraction of the other account's calls that may be refused, including by daemons without a
+		// leader.
+		maxRefused float64
 	}{
 		{10, 30_000, 4, 3400, 0.02},
 		{82, 30_000, 4, 3400, 0.02},
@@ -57,49 +59,53 @@
 		t.Run(fmt.Sprintf("daemons=%d rate=%.0f hot=%.0f units=%.0f", c.daemons, c.rate, c.hot, c.units), func(t *testing.T) {
 			g := NewWithT(t)
 			bound := (c.rate*windowSeconds+c.rate)*(1+overage) + slackUnits
-			refused, alone, asked := 0, 0, 0
+			refused, refusedLeaderless, calls := 0, 0, 0
 			for seed := range uint64(seeds) {
-				p := play(c.daemons, c.rate, c.hot, c.units, seed, lostLeader)
-				most := max(p.hot.most(windowSeconds*ticksPerSecond), p.calm.most(windowSeconds*ticksPerSecond))
-				t.Logf("seed %d: at most %.0f of %.0f allowed ran in %d s; refused of %d calls of the account below its quota: %d, and %d by daemons without a leader",
-					seed, most, bound, windowSeconds, p.asked, p.refused, p.alone)
+				o := simulate(c.daemons, c.rate, c.hot, c.units, seed, loseLeader)
+				most := max(o.hot.maxInWindow(windowSeconds*ticksPerSecond),
+					o.calm.maxInWindow(windowSeconds*ticksPerSecond))
+				t.Logf("seed %d: %.0f of %.0f allowed units in %d s; of %d calm calls refused %d with leader, %d without",
+					seed, most, bound, windowSeconds, o.calmCalls, o.refused, o.refusedLeaderless)
 				g.Expect(most).To(BeNumerically("<=", bound), "seed %d", seed)
-				refused, alone, asked = refused+p.refused, alone+p.alone, asked+p.asked
+				refused, refusedLeaderless, calls = refused+o.refused,
+					refusedLeaderless+o.refusedLeaderless, calls+o.calmCalls
 			}
-			g.Expect(float64(refused)).To(BeNumerically("<=", 0.005*float64(asked)))
-			g.Expect(float64(refused + alone)).To(BeNumerically("<=", c.refused*float64(asked)))
+			g.Expect(float64(refused)).To(BeNumerically("<=", 0.005*float64(calls)))
+			g.Expect(float64(refused + refusedLeaderless)).To(BeNumerically("<=", c.maxRefused*float64(calls)))
 		})
 	}
 }
 
 const (
-	// seeds is how many courses of events are played at each size.
+	// seeds is the number of simulations for each size of the cluster.
 	seeds          = 4
 	ticksPerSecond = 10
 )
 
-// played is the outcome of one course of events.
-type played struct {
-	hot, calm ran
-	// refused are calls of the account below its quota that daemons with a leader refused, alone those that others did.
-	refused, alone, asked int
+// outcome is the result of one simulation.
+type outcome struct {
+	// hot is the account that exceeds its quota, calm the one that stays below it.
+	hot, calm unitsPerTick
+	// refused counts the calm account's calls that daemons with a leader refused, refusedLeaderless those that daemons
+	// without one refused, and calmCalls all of its calls.
+	refused, refusedLeaderless, calmCalls int
 	// quotas are those in force in each tick.
 	quotas []turmericwall.Quota
 }
 
-// lostLeader cuts a quarter of the daemons off for ten seconds, and lets the leader die later.
-func lostLeader(f *fleet, random *rand.Rand, tick int) {
+// loseLeader partitions a quarter of the daemons for ten seconds, and terminates the leader later.
+func loseLeader(f *fleet, random *rand.Rand, tick int) {
 	switch tick {
 	case 60:
 		for range len(f.meters) / 4 {
 			if i := random.IntN(len(f.meters)); i != f.leader {
-				f.cut[i] = true
+				f.partitioned[i] = true
 			}
 		}
 	case 160:
-		clear(f.cut)
+		clear(f.partitioned)
 	case 200:
-		f.deadAt = f.now
+		f.leaderDiedAt = f.now
 	case 207:
 		f.leader = -1
 	case 220:
@@ -107,23 +113,23 @@
 	}
 }
 
-// changedQuota halves the quota two seconds before the leader dies, raises it again, freezes the next leader, and restarts half of
-// the daemons.
-func changedQuota(f *fleet, random *rand.Rand, tick int) {
-	whole := f.quota
+// changeQuota halves the quota two seconds before the leader terminates, raises it again, suspends the next leader, and
+// restarts half of the daemons.
+func changeQuota(f *fleet, random *rand.Rand, tick int) {
+	initial := f.quota
 	switch tick {
 	case 60:
-		f.quota.PerSecond, f.quota.Burst = whole.PerSecond/2, whole.Burst/2
+		f.quota.PerSecond, f.quota.Burst = initial.PerSecond/2, initial.Burst/2
 	case 130:
-		f.quota.PerSecond, f.quota.Burst = 2*whole.PerSecond, 2*whole.Burst
+		f.quota.PerSecond, f.quota.Burst = 2*initial.PerSecond, 2*initial.Burst
 	case 80, 160:
-		f.deadAt = f.now
+		f.leaderDiedAt = f.now
 	case 96:
 		f.elect(random.IntN(len(f.meters)))
 	case 176:
-		frozen := f.leader
-		f.elect((frozen + 1) % len(f.meters))
-		f.frozen[frozen] += 1600 * time.Millisecond
+		suspended := f.leader
+		f.elect((suspended + 1) % len(f.meters))
+		f.suspended[suspended] += 1600 * time.Millisecond
 	case 220:
 		for i := range f.meters {
 			if i%2 == 0 && i != f.leader {
@@ -133,8 +139,8 @@
 	}
 }
 
-// Guards against an account that runs over its quota while the quota is lowered and raised, leaders die and freeze, and daemons
-// restart.
+// Guards against an account whose admitted calls exceed its quota by more than the tolerance while the quota is lowered
+// and raised, leaders terminate or are suspended, and daemons restart.
 func TestNoAccountRunsOverAChangingQuota(t *testing.T) {
 	for _, daemons := range []int{10, 82, 300, 705} {
 		t.Run(fmt.Sprint("daemons=", daemons), func(t *testing.T) {
@@ -142,14 +148,14 @@
 			const rate, window = 216_000.0, windowSeconds * ticksPerSecond
 			most := 0.0
 			for seed := range uint64(seeds) {
-				p := play(daemons, rate, 9, 9800, seed, changedQuota)
-				for end := window; end <= len(p.hot); end++ {
-					ran, highest := 0.0, 0.0
+				o := simulate(daemons, rate, 9, 9800, seed, changeQuota)
+				for end := window; end <= len(o.hot); end++ {
+					units, highest := 0.0, 0.0
 					for tick := end - window; tick < end; tick++ {
-						ran += p.hot[tick]
-						highest = max(highest, p.quotas[tick].PerSecond)
+						units += o.hot[tick]
+						highest = max(highest, o.quotas[tick].PerSecond)
 					}
-					most = max(most, ran/((highest*windowSeconds+highest)*(1+overage)+slackUnits))
+					most = max(most, units/((highest*windowSeconds+highest)*(1+overage)+slackUnits))
 				}
 			}
 			t.Logf("at most %.2f of the bound", most)
@@ -158,68 +164,72 @@
 	}
 }
 
-// play has the account "a" ask for hot times its rate and "b" for half of it, over 30 seconds with cuts and changes of
-// the leader. Three of four units are asked of the leader, for a place at an engine; the others are charged where they
-// come in.
-func play(daemons int, rate, hot, model float64, seed uint64, events func(f *fleet, random *rand.Rand, tick int)) played {
+// simulate runs 30 seconds with partitions and changes of the leader. Account "a" requests hot times its rate and
+// account "b" half of it. Three of four units are for model calls, which are charged at the leader; the others are for
+// plain calls, which are charged by the daemon that receives them.
+func simulate(
+	daemons int, rate, hot, model float64, seed uint64, events func(f *fleet, random *rand.Rand, tick int),
+) outcome {
 	random := rand.New(rand.NewPCG(seed, 7))
-	f := newTolerantFleet(daemons, turmericwall.Quota{PerSecond: rate, Burst: rate, CountsTokens: true, PlainTokens: 200}, overage, slackUnits)
+	f := newTolerantFleet(daemons,
+		turmericwall.Quota{PerSecond: rate, Burst: rate, CountsTokens: true, PlainTokens: 200}, overage, slackUnits)
 	const ticks = 30 * ticksPerSecond
-	p := played{hot: make(ran, ticks), calm: make(ran, ticks)}
-	one := func(account string, tick int) float64 {
+	o := outcome{hot: make(unitsPerTick, ticks), calm: make(unitsPerTick, ticks)}
+	// sendCalls sends one model call, or plain calls of about a third of its units, and returns their units.
+	sendCalls := func(account string, tick int) float64 {
 		units, plain := model, random.IntN(4) == 0
 		if plain {
 			units = 200
 		}
 		i := random.IntN(daemons)
 		at := f.meters[i]
-		led := f.leader >= 0 && !f.dead() && !f.cut[i] && !f.cut[f.leader]
+		led := f.leader >= 0 && !f.leaderDead() && !f.partitioned[i] && !f.partitioned[f.leader]
 		if !plain && led {
 			at = f.meters[f.leader]
 		}
-		spent := 0.0
-		for spent < units || (plain && spent < model/3) {
+		sent := 0.0
+		for sent < units || (plain && sent < model/3) {
 			charge := at.Charge
 			if !plain && !led {
 				charge = at.ChargeAlone
 			}
 			if charge(account, units) == nil {
 				if account == "a" {
-					p.hot[tick] += units
+					o.hot[tick] += units
 				} else {
-					p.calm[tick] += units
+					o.calm[tick] += units
 				}
 			} else if account == "b" {
 				if !led {
-					p.alone++
+					o.refusedLeaderless++
 				} else {
-					p.refused++
+					o.refused++
 				}
 			}
 			if account == "b" {
-				p.asked++
+				o.calmCalls++
 			}
-			spent += units
+			sent += units
 		}
-		return spent
+		return sent
 	}
 	nextHeartbeat, dueHot, dueCalm := 0, 0.0, 0.0
 	for tick := range ticks {
 		events(f, random, tick)
-		p.quotas = append(p.quotas, f.quota)
+		o.quotas = append(o.quotas, f.quota)
 		if tick >= nextHeartbeat {
 			f.heartbeat()
 			nextHeartbeat = tick + 2 + random.IntN(2)
 		}
 		for dueHot += hot * rate / ticksPerSecond; dueHot > 0; {
-			dueHot -= one("a", tick)
+			dueHot -= sendCalls("a", tick)
 		}
 		for dueCalm += rate / 2 / ticksPerSecond; dueCalm > 0; {
-			dueCalm -= one("b", tick)
+			dueCalm -= sendCalls("b", tick)
 		}
 		f.now = f.now.Add(100 * time.Millisecond)
 	}
-	return p
+	return o
 }
 
 func BenchmarkCharge(b *testing.B) {
--- a/internal/admission/twquota/bucket.go
+++ b/internal/admission/twquota/bucket.go
@@ -6,78 +6,82 @@
 )
 
 const (
-	// reportedSpan smooths the rate of reports.
-	reportedSpan = time.Second
-	// reportLag is how old a count of other daemons' use is when they act on the leader's word: two heartbeats.
-	reportLag = 500 * time.Millisecond
+	// reportSmoothing is the time constant with which the rate of reports is smoothed.
+	reportSmoothing = time.Second
+	// reportDelay is the age of the counts of other daemons when those daemons receive the resulting level: two
+	// heartbeats.
+	reportDelay = 500 * time.Millisecond
 )
 
-// leastCapacity is the capacity of an account without a burst, in seconds of its rate.
-const leastCapacity = 0.5
+// minCapacitySeconds is the capacity of an account with little or no burst, in seconds of its rate.
+const minCapacitySeconds = 0.5
 
-// bucket is a token bucket that may go into debt. Its times keep the steady clock: while a VM is suspended nothing flows in.
+// bucket is a token bucket that holds units and may go into debt. Its times come from the monotonic clock, so it does
+// not refill while the VM is suspended.
 type bucket struct {
-	level float64
-	at    time.Time
-	// capacity is the one that the level was last cut to.
+	level      float64
+	refilledAt time.Time
+	// capacity is the one to which the level was last limited.
 	capacity float64
-	// reported is the rate at which other daemons report units, in units a second, smoothed over reportedSpan.
-	reported float64
-	// reportedAt is when it was last brought up to date.
-	reportedAt time.Time
-	// returnAt is when the last caller that was refused may come back.
-	returnAt time.Time
+	// smoothedReports is the rate in units per second that other daemons report, smoothed over reportSmoothing, as of
+	// reportedAt.
+	smoothedReports float64
+	reportedAt      time.Time
+	// lastRetryAt is the retry time of the last refused caller.
+	lastRetryAt time.Time
 }
 
-// refill lets in what has flowed at the rate, in units a second. A raised capacity is there at once.
+// refill adds the units that the rate, in units per second, has allowed since the last refill. A raised capacity raises
+// the level at once by the difference; a lowered one limits it.
 func (b *bucket) refill(now time.Time, rate, capacity float64) {
-	if b.at.IsZero() {
-		b.at = now
+	if b.refilledAt.IsZero() {
+		b.refilledAt = now
 	}
 	if capacity > b.capacity {
 		b.level += capacity - b.capacity
 	}
 	b.capacity = capacity
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.level += passed * rate
-		b.at = now
+	if elapsed := now.Sub(b.refilledAt).Seconds(); elapsed > 0 {
+		b.level += elapsed * rate
+		b.refilledAt = now
 	}
 	b.level = min(b.level, capacity)
 }
 
-// report takes units that another daemon counted.
-func (b *bucket) report(now time.Time, units float64) {
+// recordReport charges units that another daemon reported.
+func (b *bucket) recordReport(now time.Time, units float64) {
 	b.level -= units
-	b.reported = b.rate(now) + units/reportedSpan.Seconds()
+	b.smoothedReports = b.reportRate(now) + units/reportSmoothing.Seconds()
 	b.reportedAt = now
 }
 
-// rate is the smoothed rate of reports as of now.
-func (b *bucket) rate(now time.Time) float64 {
+// reportRate returns the smoothed rate of reports at the given time, in units per second.
+func (b *bucket) reportRate(now time.Time) float64 {
 	if b.reportedAt.IsZero() {
 		return 0
 	}
-	return b.reported * math.Exp(-now.Sub(b.reportedAt).Seconds()/reportedSpan.Seconds())
+	return b.smoothedReports * math.Exp(-now.Sub(b.reportedAt).Seconds()/reportSmoothing.Seconds())
 }
 
-// left is what may still be given away: the level without what others are likely to have used and not reported yet.
-func (b *bucket) left(now time.Time) float64 {
-	return b.level - b.rate(now)*reportLag.Seconds()
+// available returns the units that may still be charged: the level less the units that other daemons are expected to
+// have charged and not reported yet.
+func (b *bucket) available(now time.Time) float64 {
+	return b.level - b.reportRate(now)*reportDelay.Seconds()
 }
 
-// invite chooses when a refused caller may come back: callers of one account return one after the other, as fast as units
-// flow in.
-func (b *bucket) invite(now time.Time, rate, units float64) time.Time {
-	wait := func(units float64) time.Duration {
+// assignRetryTime returns the time at which the refused caller of a call may retry. Retry times of an account are
+// spaced by the time in which its rate allows the calls, so that refused callers do not all retry at once.
+func (b *bucket) assignRetryTime(now time.Time, rate, units float64) time.Time {
+	refillTime := func(units float64) time.Duration {
 		return time.Duration(units / rate * float64(time.Second))
 	}
-	from := now.Add(wait(max(units-b.level, 0)))
-	if b.returnAt.After(now) {
-		from = b.returnAt.Add(wait(units))
+	at := now.Add(refillTime(max(units-b.level, 0)))
+	if b.lastRetryAt.After(now) {
+		at = b.lastRetryAt.Add(refillTime(units))
 	}
-	if latest := now.Add(maxReturn); from.After(latest) {
-		from = latest
+	if latest := now.Add(maxRetryDelay); at.After(latest) {
+		at = latest
 	}
-	b.returnAt = from
-	return from
+	b.lastRetryAt = at
+	return at
 }
--- a/internal/admission/twquota/meter.go
+++ b/internal/admission/twquota/meter.go
@@ -1,9 +1,10 @@
-// Package twquota keeps client accounts within their quotas over all daemons together.
+// Package twquota keeps client accounts within their quotas over all daemons together. Calls are charged after they are
+// authenticated and before they are placed or sent.
 //
-// The leader holds one token bucket for each account. Calls that are placed by the leader are charged there, exactly. Other
-// calls are charged by the daemon that received them, against the levels in the leader's heartbeats, and reported in the
-// replies. A daemon without a leader has an equal share of each rate; the leader leaves the shares of unreachable daemons
-// to them.
+// The leader holds one token bucket for each account. Calls that the leader places are charged there, exactly. Other
+// calls are charged by the daemon that received them, against the levels in the leader's heartbeats, and are reported
+// in the replies. A daemon without a leader has an equal share of each rate; the leader leaves the shares of
+// unreachable daemons to them.
 package twquota
 
 import (
@@ -15,76 +16,84 @@
 )
 
 const (
-	// listedShare is the level, as a part of the capacity, below which an account is listed in heartbeats.
-	listedShare = 0.75
-	// restartedShare is the part of a capacity that a leader starts with that knows no level from before it.
-	restartedShare = 0.5
-	// unknownRetry is when a caller may come back to a daemon that doesn't know how many share a quota.
-	unknownRetry = 300 * time.Millisecond
-	// unknownDaemons stands for the number of daemons while it is unknown.
-	unknownDaemons = 100
-	// youngSpan is the age up to which all that a daemon has counted is taken as recent.
-	youngSpan = 8 * time.Second
-	// reportSpan is how long an account is reported after its last call: replies may be lost.
-	reportSpan = 5 * time.Second
-	// toleratedShare is the part of what may run over a quota that an account may use; the rest is for what the leader
-	// can't know in time.
-	toleratedShare = 0.5
-	// countSpan is how long a count of the daemons is used.
-	countSpan = 100 * time.Millisecond
-	// levelSpan is how long the leader's levels are acted on: a heartbeat and its way.
-	levelSpan = 400 * time.Millisecond
-	// missedSpan is how long after its last heartbeat a leader counts what a daemon used as a new one does.
-	missedSpan = 700 * time.Millisecond
-	// maxReturn bounds the time to come back.
-	maxReturn = 5 * time.Second
+	// listedLevelFraction is the level, as a fraction of the capacity, below which an account is listed in heartbeats.
+	listedLevelFraction = 0.75
+	// restartLevelFraction is the fraction of the capacity with which a leader starts that restarted and knows no
+	// levels.
+	restartLevelFraction = 0.5
+	// unknownCountRetryDelay is the delay after which a caller may retry at a daemon that does not know the number of
+	// daemons yet.
+	unknownCountRetryDelay = 300 * time.Millisecond
+	// assumedDaemons is the number of daemons that is assumed while it is unknown.
+	assumedDaemons = 100
+	// maxNewDaemonAge is the time since its start up to which a daemon's first report is taken to be recent as a whole.
+	maxNewDaemonAge = 8 * time.Second
+	// reportRetention is how long an account's use is reported after its last call, because replies may be lost.
+	reportRetention = 5 * time.Second
+	// leaderToleranceFraction is the fraction of the tolerance that the leader grants to an account. The rest is for
+	// the use that the leader cannot know of in time.
+	leaderToleranceFraction = 0.5
+	// daemonCountMaxAge is how long a count of the daemons is cached.
+	daemonCountMaxAge = 100 * time.Millisecond
+	// levelsMaxAge is how long the leader's levels are used: the time between heartbeats and their transit.
+	levelsMaxAge = 400 * time.Millisecond
+	// leaderMissedAfter is the time without heartbeats after which the same leader is treated like a new one, which has
+	// not counted what this daemon used in between.
+	leaderMissedAfter = 700 * time.Millisecond
+	// maxRetryDelay bounds the retry times of refused callers.
+	maxRetryDelay = 5 * time.Second
 )
 
-// Config says what a meter works with.
+// Config holds the dependencies and limits of a Meter.
 type Config struct {
 	// Account returns an account of the plan in force.
 	Account func(name string) (turmericwall.ClientAccount, bool)
-	// Leading tells that this daemon is the leader, and Led that it hears one.
+	// Leading reports whether this daemon is the leader, Led whether it receives the heartbeats of another one.
 	Leading func() bool
 	Led     func() bool
-	// Daemons is the number of live daemons, 0 while it is unknown. Absent is how many more answered the leader lately.
+	// Daemons returns the number of live daemons, 0 while it is unknown. Absent returns how many more answered the
+	// leader recently.
 	Daemons func() int
 	Absent  func() int
-	// WindowSeconds, Overage and Slack bound what may run over a quota, over all daemons: in any such window as much as the
-	// quota allows, a share of that, and the slack in units.
+	// WindowSeconds, Overage and Slack bound the use over a quota of all daemons together. In any window of
+	// WindowSeconds an account may use what the quota allows, the fraction Overage of that in addition, and Slack
+	// units.
 	WindowSeconds, Overage, Slack float64
-	// Restarted tells that daemons ran before this one, so that an unknown level may be low.
+	// Restarted is set if daemons ran before this one, so that a level that is unknown may be low.
 	Restarted bool
-	// Random draws from 0 to 1.
+	// Random returns a random number in [0, 1).
 	Random func() float64
-	// Now is the time by the steady clock.
+	// Now returns the time of the monotonic clock.
 	Now func() time.Time
 }
 
-// Meter is one daemon's part in the count.
+// Meter charges the calls of one daemon and, while the daemon is the leader, holds the accounts' buckets of all
+// daemons.
 type Meter struct {
 	config Config
 	mu     sync.Mutex
-	// shared are the buckets of all daemons, while this one is the leader.
-	shared map[string]*bucket
-	// own are this daemon's buckets while it has no leader, as of the levels that came at ownAt.
-	own   map[string]*bucket
-	ownAt time.Time
-	// levels are the last ones that a leader sent, and levelsAt is when they came; leader is the leader's incarnation.
+	// clusterBuckets are the buckets of all daemons; they are valid while this daemon is the leader.
+	clusterBuckets map[string]*bucket
+	// localBuckets hold this daemon's shares while it has no leader. They start with the levels received at
+	// localLevelsAt.
+	localBuckets  map[string]*bucket
+	localLevelsAt time.Time
+	// levels are the last ones that a leader sent, levelsAt is when they were received, and leader is the leader's
+	// incarnation.
 	levels   map[string]level
 	levelsAt time.Time
 	leader   string
-	// used is what this daemon counted by itself.
-	used map[string]*use
-	// reported is what other daemons had counted when they last replied, by incarnation and account.
+	// used is what this daemon itself charged, by account.
+	used map[string]*usage
+	// reported is the use in the last reply of each other daemon, by incarnation and account.
 	reported map[string]map[string]int64
-	// last is the situation at the last look.
-	last situation
+	// lastState is the state at the last charge, refund, report or list of levels.
+	lastState clusterState
 }
 
-// situation is the daemon's role and the size of the cluster. It is read without holding the meter's lock, since the
+// clusterState is this daemon's role and the size of the cluster. It is read without the meter's lock, since the
 // cluster calls the meter while it holds its own.
-type situation struct {
+type clusterState struct {
 	now     time.Time
 	leading bool
 	led     bool
@@ -99,72 +108,72 @@
 	at    time.Time
 }
 
-type use struct {
+type usage struct {
 	units float64
-	// replied are the units at the last reply to the present leader, and repliedBefore those at the reply before that. The
-	// levels that the leader sends next may not contain the last one yet.
-	replied, repliedBefore float64
-	// before is what the leader before the present one had counted in the last levels that it sent.
-	before float64
-	at     time.Time
+	// replied are the units in the last reply to the current leader, and previousReplied those in the reply before it.
+	// The next levels from the leader may not include the last reply yet.
+	replied, previousReplied float64
+	// countedBefore are the units that the previous leader had counted in the last levels that it sent.
+	countedBefore float64
+	lastUsedAt    time.Time
 }
 
-// New returns a meter that has counted nothing.
+// New returns a meter that has charged nothing.
 func New(config Config) *Meter {
 	return &Meter{
-		config: config, shared: make(map[string]*bucket), own: make(map[string]*bucket), levels: make(map[string]level),
-		used: make(map[string]*use), reported: make(map[string]map[string]int64),
+		config: config, clusterBuckets: make(map[string]*bucket), localBuckets: make(map[string]*bucket),
+		levels: make(map[string]level), used: make(map[string]*usage), reported: make(map[string]map[string]int64),
 	}
 }
 
-// Charge takes units from the account's quota. The error is a *Problem that says when to come back.
+// Charge charges units to the account's quota. The error is a *Problem with a retry time.
 func (m *Meter) Charge(account string, units float64) error {
 	found, ok := m.config.Account(account)
 	if !ok || !found.Quota.Limits() || units <= 0 {
 		return nil
 	}
-	s := m.look()
+	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.observe(s)
+	m.updateState(s)
 	switch {
 	case s.leading:
-		return m.chargeShared(s, found, units)
-	case s.led && s.now.Sub(m.levelsAt) < levelSpan:
-		return m.chargeLed(s.now, found, units)
+		return m.chargeClusterBucket(s, found, units)
+	case s.led && s.now.Sub(m.levelsAt) < levelsMaxAge:
+		return m.chargeLevel(s.now, found, units)
 	default:
-		return m.chargeAlone(s, found, units)
+		return m.chargeLocalShare(s, found, units)
 	}
 }
 
-// Refund gives units back for a call that did not run.
+// Refund returns units that were charged for a call that did not run.
 func (m *Meter) Refund(account string, units float64) {
 	found, ok := m.config.Account(account)
 	if !ok || !found.Quota.Limits() || units <= 0 {
 		return
 	}
-	s := m.look()
+	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.observe(s)
+	m.updateState(s)
 	if s.leading {
-		m.sharedBucket(s, found).level += units
+		m.clusterBucket(s, found).level += units
 		return
 	}
-	m.count(s.now, account, -units)
-	if b, ok := m.own[account]; ok && m.ownAt.Equal(m.levelsAt) {
+	m.recordUse(s.now, account, -units)
+	if b, ok := m.localBuckets[account]; ok && m.localLevelsAt.Equal(m.levelsAt) {
 		b.level += units
 	}
 }
 
-// look reads the situation. The cluster's size is cached for countSpan, since counting hundreds of members for each call is
-// costly.
-func (m *Meter) look() situation {
-	s := situation{now: m.config.Now(), leading: m.config.Leading(), led: m.config.Led()}
+// readState reads this daemon's role and the size of the cluster. The size is cached for daemonCountMaxAge, since
+// counting hundreds of members for each call is costly.
+func (m *Meter) readState() clusterState {
+	s := clusterState{now: m.config.Now(), leading: m.config.Leading(), led: m.config.Led()}
 	m.mu.Lock()
-	last := m.last
+	last := m.lastState
 	m.mu.Unlock()
-	if s.leading == last.leading && s.now.Sub(last.countedAt) < countSpan {
+	if s.leading == last.leading && s.now.Sub(last.countedAt) < daemonCountMaxAge {
 		s.daemons, s.absent, s.countedAt = last.daemons, last.absent, last.countedAt
 		return s
 	}
@@ -175,182 +184,193 @@
 	return s
 }
 
-// observe resets what a change of the daemon's role makes obsolete; the lock is held.
-func (m *Meter) observe(s situation) {
-	if s.leading && !m.last.leading {
-		m.shared = make(map[string]*bucket)
+// updateState records the state, and discards buckets and reports of an earlier term if this daemon became the leader;
+// the lock is held.
+func (m *Meter) updateState(s clusterState) {
+	if s.leading && !m.lastState.leading {
+		m.clusterBuckets = make(map[string]*bucket)
 		m.reported = make(map[string]map[string]int64)
 	}
-	m.last = s
+	m.lastState = s
 }
 
-// chargeShared takes units as the leader; the lock is held.
-func (m *Meter) chargeShared(s situation, account turmericwall.ClientAccount, units float64) error {
-	b := m.sharedBucket(s, account)
-	if b.left(s.now) < min(units, b.capacity) {
-		return overLimit(account, units, b.left(s.now), "of all daemons", b.invite(s.now, account.Quota.PerSecond, units))
+// chargeClusterBucket charges units as the leader; the lock is held.
+func (m *Meter) chargeClusterBucket(s clusterState, account turmericwall.ClientAccount, units float64) error {
+	b := m.clusterBucket(s, account)
+	if b.available(s.now) < min(units, b.capacity) {
+		return newOverLimit(account, units, b.available(s.now), "of all daemons",
+			b.assignRetryTime(s.now, account.Quota.PerSecond, units))
 	}
 	b.level -= units
 	return nil
 }
 
-// sharedBucket is the account's bucket of all daemons, as of now; the lock is held.
+// clusterBucket returns the account's bucket of all daemons, refilled up to now; the lock is held.
 //
-// Daemons that don't answer may be partitioned and go on with their shares, so that the leader refills without these.
-func (m *Meter) sharedBucket(s situation, account turmericwall.ClientAccount) *bucket {
+// Daemons that do not answer may be partitioned and continue to use their shares, so the bucket is refilled without
+// these.
+func (m *Meter) clusterBucket(s clusterState, account turmericwall.ClientAccount) *bucket {
 	capacity := m.capacity(account.Quota)
-	b, ok := m.shared[account.Name]
+	b, ok := m.clusterBuckets[account.Name]
 	if !ok {
-		b = &bucket{level: m.startLevel(account, capacity), capacity: capacity}
-		m.shared[account.Name] = b
+		b = &bucket{level: m.initialLevel(account, capacity), capacity: capacity}
+		m.clusterBuckets[account.Name] = b
 	}
-	b.refill(s.now, account.Quota.PerSecond*s.presentShare(), capacity)
+	b.refill(s.now, account.Quota.PerSecond*s.liveFraction(), capacity)
 	return b
 }
 
-// tolerance is what may run over the quota in a window, in units.
+// tolerance returns the units that may be used over the quota in a window.
 func (m *Meter) tolerance(q turmericwall.Quota) float64 {
 	return m.config.Overage*(q.PerSecond*m.config.WindowSeconds+q.Burst) + m.config.Slack
 }
 
-// capacity is what an account may use at once.
+// capacity returns the units that an account may use at once.
 func (m *Meter) capacity(q turmericwall.Quota) float64 {
-	return max(q.Burst, leastCapacity*q.PerSecond) + toleratedShare*m.tolerance(q)
+	return max(q.Burst, minCapacitySeconds*q.PerSecond) + leaderToleranceFraction*m.tolerance(q)
 }
 
-// startLevel is a new leader's first level of a bucket. It is not refilled for the time without a leader, in which daemons
-// may have used their shares.
-func (m *Meter) startLevel(account turmericwall.ClientAccount, capacity float64) float64 {
+// initialLevel returns the first level of a new leader's bucket. It is not refilled for the time without a leader, in
+// which daemons may have used their shares.
+func (m *Meter) initialLevel(account turmericwall.ClientAccount, capacity float64) float64 {
 	if known, ok := m.levels[account.Name]; ok {
 		return min(known.units, capacity)
 	}
 	if m.config.Restarted && len(m.levels) == 0 {
-		return restartedShare * capacity
+		return restartLevelFraction * capacity
 	}
 	return capacity
 }
 
-// presentShare is the part of all daemons that answer the leader.
-func (s situation) presentShare() float64 {
+// liveFraction returns the fraction of the daemons that answer the leader.
+func (s clusterState) liveFraction() float64 {
 	daemons := max(s.daemons, 1)
 	return float64(daemons) / float64(daemons+s.absent)
 }
 
-// chargeLed charges a call against the levels of the leader's last heartbeat; the lock is held.
-func (m *Meter) chargeLed(now time.Time, account turmericwall.ClientAccount, units float64) error {
+// chargeLevel charges a call against the account's level in the leader's last heartbeat; the lock is held.
+func (m *Meter) chargeLevel(now time.Time, account turmericwall.ClientAccount, units float64) error {
 	if known, listed := m.levels[account.Name]; listed {
-		b := bucket{level: known.units, at: known.at, capacity: m.capacity(account.Quota)}
+		b := bucket{level: known.units, refilledAt: known.at, capacity: m.capacity(account.Quota)}
 		b.refill(now, account.Quota.PerSecond, b.capacity)
 		if b.level <= 0 {
-			return overLimit(account, units, b.level, "of all daemons by the leader's last count", b.invite(now, account.Quota.PerSecond, units))
+			return newOverLimit(account, units, b.level, "of all daemons by the leader's last count",
+				b.assignRetryTime(now, account.Quota.PerSecond, units))
 		}
 	}
-	m.count(now, account.Name, units)
+	m.recordUse(now, account.Name, units)
 	return nil
 }
 
-// count adds to the daemon's own count, which is reported to the leader; the lock is held.
-func (m *Meter) count(now time.Time, account string, units float64) {
+// recordUse adds units to this daemon's use, which is reported to the leader; the lock is held.
+func (m *Meter) recordUse(now time.Time, account string, units float64) {
 	u, ok := m.used[account]
 	if !ok {
-		u = &use{}
+		u = &usage{}
 		m.used[account] = u
 	}
 	u.units += units
-	u.at = now
+	u.lastUsedAt = now
 }
 
-// overLimit refuses a call of so many units; left says how many there were, by whose count.
-func overLimit(account turmericwall.ClientAccount, units, left float64, whose string, retryAt time.Time) error {
+// newOverLimit returns the refusal of a call. remaining are the units that are left, and scope says of what and by
+// whose count.
+func newOverLimit(account turmericwall.ClientAccount, units, remaining float64, scope string, retryAt time.Time) error {
 	return turmericwall.NewProblem(turmericwall.KindOverLimit,
-		fmt.Sprintf("the client account %s is over its quota: the call counts %.0f, and %.0f are left %s", account.Name, units, left, whose),
-		"come back at the time given").WithRetryAt(retryAt)
+		fmt.Sprintf("the client account %s is over its quota: the call counts %.0f, and %.0f are left %s",
+			account.Name, units, remaining, scope), "retry at the time in Retry-After").WithRetryAt(retryAt)
 }
 
-// Uses is what this daemon counted by itself of the accounts with recent calls, for the leader whose heartbeat it answers.
+// Uses returns this daemon's use of the accounts with recent calls. It goes into the reply to the leader's heartbeat.
 func (m *Meter) Uses() []turmericwall.AccountUse {
 	now := m.config.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []turmericwall.AccountUse
 	for name, u := range m.used {
-		if now.Sub(u.at) < reportSpan {
-			list = append(list, turmericwall.AccountUse{Account: name, Units: int64(u.units), Alone: int64(u.units - u.before)})
+		if now.Sub(u.lastUsedAt) < reportRetention {
+			list = append(list, turmericwall.AccountUse{
+				Account: name, Units: int64(u.units), Alone: int64(u.units - u.countedBefore),
+			})
 		}
 	}
 	return list
 }
 
-// Report takes what another daemon, which started some time ago, counted by itself. Of a daemon that reports for the first
-// time, the leader before this one has counted all but what it used without a leader.
-func (m *Meter) Report(incarnation string, up time.Duration, uses []turmericwall.AccountUse) {
-	s := m.look()
+// Report charges the use that another daemon reported, as the leader. uptime is the time since that daemon's start.
+//
+// Uses are totals since the daemon's start, so that a lost or repeated report does no harm. In the first report of a
+// daemon that is not new, the previous leader has counted everything but what the daemon used without a leader.
+func (m *Meter) Report(incarnation string, uptime time.Duration, uses []turmericwall.AccountUse) {
+	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.observe(s)
+	m.updateState(s)
 	if !s.leading {
 		return
 	}
-	before, known := m.reported[incarnation]
+	previous, known := m.reported[incarnation]
 	if !known {
-		before = make(map[string]int64)
-		m.reported[incarnation] = before
+		previous = make(map[string]int64)
+		m.reported[incarnation] = previous
 	}
 	for _, u := range uses {
 		account, ok := m.config.Account(u.Account)
 		if !ok || !account.Quota.Limits() {
 			continue
 		}
-		recent := u.Units - before[u.Account]
-		if !known && up >= youngSpan {
+		recent := u.Units - previous[u.Account]
+		if !known && uptime >= maxNewDaemonAge {
 			recent = u.Alone
 		}
-		m.sharedBucket(s, account).report(s.now, float64(recent))
-		before[u.Account] = u.Units
+		m.clusterBucket(s, account).recordReport(s.now, float64(recent))
+		previous[u.Account] = u.Units
 	}
 }
 
-// Gone forgets a daemon that no longer answers.
+// Gone discards the reports of a daemon that no longer answers.
 func (m *Meter) Gone(incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.reported, incarnation)
 }
 
-// Levels are the accounts that have used a good part of their quotas, for the leader's heartbeats.
+// Levels returns the accounts whose available units are below listedLevelFraction of their capacity. It goes into the
+// leader's heartbeats.
 func (m *Meter) Levels() []turmericwall.AccountLevel {
-	s := m.look()
+	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.observe(s)
+	m.updateState(s)
 	var list []turmericwall.AccountLevel
-	for name := range m.shared {
+	for name := range m.clusterBuckets {
 		account, ok := m.config.Account(name)
 		if !ok || !account.Quota.Limits() {
-			delete(m.shared, name)
+			delete(m.clusterBuckets, name)
 			continue
 		}
-		b := m.sharedBucket(s, account)
-		if left := b.left(s.now); left < listedShare*b.capacity {
-			list = append(list, turmericwall.AccountLevel{Account: name, Units: int64(left)})
+		b := m.clusterBucket(s, account)
+		if available := b.available(s.now); available < listedLevelFraction*b.capacity {
+			list = append(list, turmericwall.AccountLevel{Account: name, Units: int64(available)})
 		}
 	}
 	return list
 }
 
-// TakeLevels takes the levels of the heartbeat of a leader, which is named by its incarnation. The reply to it tells the Uses.
+// TakeLevels applies the levels in a heartbeat of the leader with the given incarnation. It must be called before Uses
+// is called for the reply to that heartbeat.
 func (m *Meter) TakeLevels(leader string, levels []turmericwall.AccountLevel) {
 	now := m.config.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if leader != m.leader || now.Sub(m.levelsAt) > missedSpan {
+	if leader != m.leader || now.Sub(m.levelsAt) > leaderMissedAfter {
 		for _, u := range m.used {
-			u.before = u.repliedBefore
+			u.countedBefore = u.previousReplied
 		}
 	}
 	m.leader, m.levelsAt = leader, now
 	for _, u := range m.used {
-		u.repliedBefore, u.replied = u.replied, u.units
+		u.previousReplied, u.replied = u.replied, u.units
 	}
 	clear(m.levels)
 	for _, l := range levels {
--- a/internal/admission/twquota/model_test.go
+++ b/internal/admission/twquota/model_test.go
@@ -10,125 +10,129 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// The small model: three daemons, one account that asks some five times its rate, and steps that are longer than it takes to miss
-// a leader and together as long as the window.
+// The small model: three daemons and one account that requests about five times its rate. A step is longer than the
+// time after which a leader is missed; all steps together are as long as the window.
 const (
-	modelSteps = 7
-	modelStep  = windowSeconds * time.Second / modelSteps
-	modelParts = 4
-	modelCalls = 16
-	modelUnits = 100.0
+	modelSteps        = 7
+	modelStepDuration = windowSeconds * time.Second / modelSteps
+	// partsPerStep is the number of heartbeats in a step; each is followed by a part of the calls.
+	partsPerStep = 4
+	// callsPerStep is the number of calls that each daemon receives in a step.
+	callsPerStep = 16
+	unitsPerCall = 100.0
 )
 
 var modelQuota = turmericwall.Quota{PerSecond: 1000, Burst: 1000, CountsTokens: true, PlainTokens: 100}
 
-// step is what may happen before the calls of a step.
+// step is an event that may happen before the calls of a step.
 type step int
 
 const (
 	stepNothing step = iota
-	stepDeath
+	stepLeaderDeath
 	stepElection
-	stepCut
+	stepPartition
 	stepHeal
+	// stepLateHeartbeat delivers only the last heartbeat of the step.
 	stepLateHeartbeat
 	stepCount
 )
 
-// possible tells that the step can happen to the fleet.
-func (s step) possible(f *fleet) bool {
+// isPossible reports whether the event can happen to the fleet.
+func (s step) isPossible(f *fleet) bool {
 	switch s {
-	case stepDeath:
-		return !f.dead()
+	case stepLeaderDeath:
+		return !f.leaderDead()
 	case stepElection:
-		return f.dead()
-	case stepCut:
-		return len(f.cut) == 0
+		return f.leaderDead()
+	case stepPartition:
+		return len(f.partitioned) == 0
 	case stepHeal:
-		return len(f.cut) > 0
+		return len(f.partitioned) > 0
 	case stepLateHeartbeat:
-		return !f.dead()
+		return !f.leaderDead()
 	}
 	return true
 }
 
-// take plays one step, and returns the units that ran in it.
-func (s step) take(f *fleet) (ran float64) {
+// simulate runs one step and returns the units of the admitted calls.
+func (s step) simulate(f *fleet) (admitted float64) {
 	switch s {
-	case stepDeath:
-		f.deadAt = f.now
+	case stepLeaderDeath:
+		f.leaderDiedAt = f.now
 	case stepElection:
 		next := (f.leader + 1) % len(f.meters)
-		if f.cut[next] {
+		if f.partitioned[next] {
 			next = (next + 1) % len(f.meters)
 		}
 		f.elect(next)
-	case stepCut:
-		f.cut[(f.leader+2)%len(f.meters)] = true
+	case stepPartition:
+		f.partitioned[(f.leader+2)%len(f.meters)] = true
 	case stepHeal:
-		clear(f.cut)
+		clear(f.partitioned)
 	}
-	for part := range modelParts {
-		if s != stepLateHeartbeat || part == modelParts-1 {
+	for part := range partsPerStep {
+		if s != stepLateHeartbeat || part == partsPerStep-1 {
 			f.heartbeat()
 		}
 		for i := range f.meters {
-			if f.dead() && i == f.leader {
+			if f.leaderDead() && i == f.leader {
 				continue
 			}
-			for call := range modelCalls / modelParts {
-				if f.modelCharge(i, call%2 == 0) == nil {
-					ran += modelUnits
+			for call := range callsPerStep / partsPerStep {
+				if f.chargeCall(i, call%2 == 0) == nil {
+					admitted += unitsPerCall
 				}
 			}
 		}
-		f.now = f.now.Add(modelStep / modelParts)
+		f.now = f.now.Add(modelStepDuration / partsPerStep)
 	}
-	return ran
+	return admitted
 }
 
-// modelCharge charges a call that came in at a daemon: a plain one there, another one at the leader or, when it does not answer,
-// alone.
-func (f *fleet) modelCharge(i int, plain bool) error {
+// chargeCall charges a call that daemon i received: a plain call at that daemon, any other at the leader or, if the
+// leader does not answer, at the daemon's own share.
+func (f *fleet) chargeCall(i int, plain bool) error {
 	switch {
 	case plain:
-		return f.meters[i].Charge("a", modelUnits)
-	case f.leader >= 0 && !f.dead() && !f.cut[i] && !f.cut[f.leader]:
-		return f.meters[f.leader].Charge("a", modelUnits)
+		return f.meters[i].Charge("a", unitsPerCall)
+	case f.leader >= 0 && !f.leaderDead() && !f.partitioned[i] && !f.partitioned[f.leader]:
+		return f.meters[f.leader].Charge("a", unitsPerCall)
 	}
-	return f.meters[i].ChargeAlone("a", modelUnits)
+	return f.meters[i].ChargeAlone("a", unitsPerCall)
 }
 
-// Guards against any order of deaths, elections, cuts and late heartbeats that lets an account run over its quota.
+// Guards against an account that exceeds its quota by more than the tolerance in any sequence of leader deaths,
+// elections, partitions and late heartbeats.
 func TestNoSeriesOfEventsOfTheSmallModelRunsOverTheBound(t *testing.T) {
 	g := NewWithT(t)
 	bound := (modelQuota.PerSecond*windowSeconds+modelQuota.Burst)*(1+overage) + modelQuota.PerSecond*slackUnits/216_000
-	courses, most := 0, 0.0
-	var series, worst []step
-	// The series are played anew from the start for each course, since a meter can't be copied.
+	sequences, most := 0, 0.0
+	var sequence, worst []step
+	// Each sequence is simulated from the start, since a meter cannot be copied.
 	var explore func()
 	explore = func() {
 		f := newTolerantFleet(3, modelQuota, overage, modelQuota.PerSecond*slackUnits/216_000)
-		ran := 0.0
-		for _, s := range series {
-			ran += s.take(f)
+		admitted := 0.0
+		for _, s := range sequence {
+			admitted += s.simulate(f)
 		}
-		if len(series) == modelSteps {
-			courses++
-			if ran > most {
-				most, worst = ran, slices.Clone(series)
+		if len(sequence) == modelSteps {
+			sequences++
+			if admitted > most {
+				most, worst = admitted, slices.Clone(sequence)
 			}
 			return
 		}
 		for s := range stepCount {
-			if s.possible(f) {
-				series = append(series, s)
+			if s.isPossible(f) {
+				sequence = append(sequence, s)
 				explore()
-				series = series[:len(series)-1]
+				sequence = sequence[:len(sequence)-1]
 			}
 		}
 	}
 	explore()
-	t.Logf("%d series of %d steps, at most %.2f of the bound in %v", courses, modelSteps, most/bound, worst)
+	t.Logf("%d sequences of %d steps, at most %.2f of the bound in %v", sequences, modelSteps, most/bound, worst)
 	g.Expect(most).To(BeNumerically("<=", bound))
 }
--- a/internal/admission/twquota/rate_bound_test.go
+++ b/internal/admission/twquota/rate_bound_test.go
@@ -12,165 +12,174 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// The bound on an upstream that states a rate: in rateWindow its rate and half of it more, and rateSlack calls, from rateGrace
-// after the first statement on.
+// The bound on an upstream that states a rate: in any rateWindow seconds rateFactor times what its rate allows, and
+// rateSlack calls in addition, from rateGrace seconds after the first statement on.
 const (
 	rateWindow = 4
-	rateShare  = 1.5
+	rateFactor = 1.5
 	rateSlack  = 5
 	rateGrace  = 3
-	rateTicks  = 50
-	rateSpan   = 70
+	// rateTicks is the number of ticks per second, rateSeconds the duration of a simulation.
+	rateTicks   = 50
+	rateSeconds = 70
 )
 
-// hotUpstream gets four times what it takes, calmUpstream half of it.
+// hotUpstream is called at four times its rate, calmUpstream at half of it.
 var (
 	hotUpstream  = turmericwall.UpstreamKey{ID: "hot"}
 	calmUpstream = turmericwall.UpstreamKey{ID: "calm"}
 )
 
-// ratePlay is one course of events.
-type ratePlay struct {
-	fleet *rateFleet
-	way   func(*throttled) admitter
-	rate  float64
-	tick  int
-	// reached are the calls of each tick that reached the upstream that gets too many, and allowed their rate then.
-	reached []int
-	allowed []float64
-	// refused are calls of the upstream below its rate that were refused while a leader lived, alone those refused without
-	// one, of all asked.
-	refused, asked, alone, askedAlone int
+// rateSimulation is one simulation of a fleet before two upstreams that state rates.
+type rateSimulation struct {
+	fleet       *rateFleet
+	newAdmitter func(*rateDaemon) admitter
+	rate        float64
+	tick        int
+	// reached counts the calls that reached the hot upstream in each tick, and statedPerTick is the rate that it stated
+	// then.
+	reached       []int
+	statedPerTick []float64
+	// refused counts the calls to the calm upstream that were refused while there was a leader, of calmCalls;
+	// refusedLeaderless those that were refused without a leader, of calmCallsLeaderless.
+	refused, calmCalls, refusedLeaderless, calmCallsLeaderless int
 }
 
-func playRates(daemons int, rate float64, seed uint64, way func(*throttled) admitter) *ratePlay {
-	p := &ratePlay{fleet: newRateFleet(daemons, seed, way), way: way, rate: rate, reached: make([]int, rateSpan*rateTicks), allowed: make([]float64, rateSpan*rateTicks)}
-	hot, calm, next := 0.0, 0.0, 0
-	for p.tick = range rateSpan * rateTicks {
-		p.events(float64(p.tick) / rateTicks)
-		if p.tick >= next {
-			p.fleet.heartbeat()
-			next = p.tick + rateTicks/4
+func simulateRates(daemons int, rate float64, seed uint64, newAdmitter func(*rateDaemon) admitter) *rateSimulation {
+	s := &rateSimulation{
+		fleet: newRateFleet(daemons, seed, newAdmitter), newAdmitter: newAdmitter, rate: rate,
+		reached: make([]int, rateSeconds*rateTicks), statedPerTick: make([]float64, rateSeconds*rateTicks),
+	}
+	hot, calm, nextHeartbeat := 0.0, 0.0, 0
+	for s.tick = range rateSeconds * rateTicks {
+		s.applyEvents(float64(s.tick) / rateTicks)
+		if s.tick >= nextHeartbeat {
+			s.fleet.heartbeat()
+			nextHeartbeat = s.tick + rateTicks/4
 		}
-		stated := p.stated(float64(p.tick) / rateTicks)
-		p.allowed[p.tick] = stated
-		for hot += 4 * rate / rateTicks * p.fleet.random.ExpFloat64(); hot > 1; hot-- {
-			if p.send(hotUpstream, stated) {
-				p.reached[p.tick]++
+		stated := s.statedRate(float64(s.tick) / rateTicks)
+		s.statedPerTick[s.tick] = stated
+		for hot += 4 * rate / rateTicks * s.fleet.random.ExpFloat64(); hot > 1; hot-- {
+			if s.sendCall(hotUpstream, stated) {
+				s.reached[s.tick]++
 			}
 		}
-		for calm += rate / 2 / rateTicks * p.fleet.random.ExpFloat64(); calm > 1; calm-- {
-			p.calm()
+		for calm += rate / 2 / rateTicks * s.fleet.random.ExpFloat64(); calm > 1; calm-- {
+			s.sendCalmCall()
 		}
-		p.fleet.now = p.fleet.now.Add(time.Second / rateTicks)
+		s.fleet.now = s.fleet.now.Add(time.Second / rateTicks)
 	}
-	return p
+	return s
 }
 
-// stated is the rate that the upstreams state at a second; none is infinite.
-func (p *ratePlay) stated(second float64) float64 {
+// statedRate returns the rate that the hot upstream states at the given second; it is infinite while none is stated.
+func (s *rateSimulation) statedRate(second float64) float64 {
 	switch {
 	case second < 2 || second >= 64:
 		return math.Inf(1)
 	case second >= 52 && second < 58:
-		return 3 * p.rate
+		return 3 * s.rate
 	case second >= 58:
-		return p.rate / 2
+		return s.rate / 2
 	}
-	return p.rate
+	return s.rate
 }
 
-// events are the failures: the leader dies, the leader and its standbys die while the store is away, daemons are cut off, a
-// leader freezes and wakes, and half of the daemons restart.
-func (p *ratePlay) events(second float64) {
-	f := p.fleet
-	at := func(s float64) bool { return math.Abs(second-s) < 0.5/rateTicks }
+// applyEvents applies the failures of the given second: the leader terminates, the leader and its standbys terminate
+// while the store is unavailable, daemons are partitioned, a leader is suspended and resumes, and half of the daemons
+// restart.
+func (s *rateSimulation) applyEvents(second float64) {
+	f := s.fleet
+	at := func(eventSecond float64) bool { return math.Abs(second-eventSecond) < 0.5/rateTicks }
 	switch {
 	case at(9):
-		f.daemons[f.leading].down = true
+		f.daemons[f.leader].terminated = true
 	case at(10.6):
 		f.elect(1)
 	case at(15):
 		for i := range min(4, len(f.daemons)/2) {
-			f.daemons[i].down = true
+			f.daemons[i].terminated = true
 		}
 	case at(22):
 		f.elect(len(f.daemons) - 1)
 	case at(27):
 		for i := range len(f.daemons) / 4 {
-			f.cut[i+len(f.daemons)/2] = true
+			f.partitioned[i+len(f.daemons)/2] = true
 		}
 	case at(33):
-		clear(f.cut)
+		clear(f.partitioned)
 	case at(36):
-		f.daemons[f.leading].down = true
+		f.daemons[f.leader].terminated = true
 	case at(37.6):
-		frozen := f.leading
+		suspended := f.leader
 		f.elect(len(f.daemons) - 2)
-		f.daemons[frozen].frozen += 1600 * time.Millisecond
-		f.daemons[frozen].down = false
+		f.daemons[suspended].suspended += 1600 * time.Millisecond
+		f.daemons[suspended].terminated = false
 	case at(42):
 		for i := range len(f.daemons) / 2 {
-			f.daemons[i].down = false
-			f.daemons[i].restart(p.way)
+			f.daemons[i].terminated = false
+			f.daemons[i].restart(s.newAdmitter)
 		}
 	}
 }
 
-// send plays a call at any live daemon that is not cut off, and the answer that states the rate.
-func (p *ratePlay) send(upstream turmericwall.UpstreamKey, stated float64) bool {
-	d := p.daemon()
-	if d.way.Admit(context.Background(), upstream) != nil {
+// sendCall sends a call through any daemon that is live and not partitioned. If the daemon admits it, the answer states
+// the rate.
+func (s *rateSimulation) sendCall(upstream turmericwall.UpstreamKey, stated float64) bool {
+	d := s.pickDaemon()
+	if d.admitter.Admit(context.Background(), upstream) != nil {
 		return false
 	}
 	d.rates.Take(upstream, turmericwall.UpstreamStatement{
-		SentAt: d.clock(), ReceivedAt: d.clock(), PerSecond: stated, RateStated: !math.IsInf(stated, 1), RateLifted: math.IsInf(stated, 1),
+		SentAt: d.now(), ReceivedAt: d.now(), PerSecond: stated,
+		RateStated: !math.IsInf(stated, 1), RateLifted: math.IsInf(stated, 1),
 	})
 	return true
 }
 
-func (p *ratePlay) daemon() *throttled {
+func (s *rateSimulation) pickDaemon() *rateDaemon {
 	for {
-		if d := p.fleet.daemons[p.fleet.random.IntN(len(p.fleet.daemons))]; p.fleet.reaches(d) {
+		if d := s.fleet.daemons[s.fleet.random.IntN(len(s.fleet.daemons))]; s.fleet.reaches(d) {
 			return d
 		}
 	}
 }
 
-// calm plays a call of the upstream that stays below its rate.
-func (p *ratePlay) calm() {
-	ok := p.send(calmUpstream, p.rate)
-	if f := p.fleet; f.leading >= 0 && !f.daemons[f.leading].down {
-		p.asked++
+// sendCalmCall sends a call to the upstream that is called below its rate.
+func (s *rateSimulation) sendCalmCall() {
+	ok := s.sendCall(calmUpstream, s.rate)
+	if f := s.fleet; f.leader >= 0 && !f.daemons[f.leader].terminated {
+		s.calmCalls++
 		if !ok {
-			p.refused++
+			s.refused++
 		}
 		return
 	}
-	p.askedAlone++
+	s.calmCallsLeaderless++
 	if !ok {
-		p.alone++
+		s.refusedLeaderless++
 	}
 }
 
-// most is the largest part of the bound that any window reached.
-func (p *ratePlay) most() float64 {
+// maxFractionOfBound returns the largest fraction of the bound that the calls of any window reached.
+func (s *rateSimulation) maxFractionOfBound() float64 {
 	most := 0.0
-	for end := (2 + rateGrace + rateWindow) * rateTicks; end <= len(p.reached); end++ {
+	for end := (2 + rateGrace + rateWindow) * rateTicks; end <= len(s.reached); end++ {
 		calls, rate := 0, 0.0
 		for tick := end - rateWindow*rateTicks; tick < end; tick++ {
-			calls += p.reached[tick]
-			rate = max(rate, p.allowed[tick])
+			calls += s.reached[tick]
+			rate = max(rate, s.statedPerTick[tick])
 		}
-		// A statement is known everywhere half a second after it.
-		rate = max(rate, p.allowed[end-rateWindow*rateTicks-rateTicks/2])
-		most = max(most, float64(calls)/(rateShare*rateWindow*rate+rateSlack))
+		// All daemons must apply a statement within half a second.
+		rate = max(rate, s.statedPerTick[end-rateWindow*rateTicks-rateTicks/2])
+		most = max(most, float64(calls)/(rateFactor*rateWindow*rate+rateSlack))
 	}
 	return most
 }
 
-// Guards against upstreams that get more than the rate that they state, and calls refused of one that gets less, while
-// leaders die and freeze, daemons are cut off and restart, and rates change.
+// Guards against upstreams that receive more calls than the rate that they state, and against refused calls to an
+// upstream that is called below its rate, while leaders terminate and are suspended, daemons are partitioned and
+// restart, and rates change. Equal shares of the rate are simulated for comparison.
 func TestNoUpstreamGetsMoreThanItStates(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
@@ -179,23 +188,27 @@
 	}{{6, 1, 8}, {6, 3, 8}, {6, 40, 4}, {82, 3, 4}, {82, 40, 4}, {705, 1, 2}, {705, 40, 2}, {705, 100, 2}} {
 		t.Run(fmt.Sprintf("daemons=%d rate=%.0f", c.daemons, c.rate), func(t *testing.T) {
 			g := NewWithT(t)
-			var asked, refused, askedAlone, alone, calls int
+			var calmCalls, refused, calmCallsLeaderless, refusedLeaderless, hotCalls int
 			most, mostEqual, refusedEqual := 0.0, 0.0, 0
 			for seed := range c.seeds {
-				p := playRates(c.daemons, c.rate, seed, func(d *throttled) admitter { return d.throttle })
-				g.Expect(p.most()).To(BeNumerically("<=", 1), "seed %d", seed)
-				most = max(most, p.most())
-				asked, refused, askedAlone, alone = asked+p.asked, refused+p.refused, askedAlone+p.askedAlone, alone+p.alone
-				for _, n := range p.reached[10*rateTicks : 50*rateTicks] {
-					calls += n
+				s := simulateRates(c.daemons, c.rate, seed, func(d *rateDaemon) admitter { return d.throttle })
+				g.Expect(s.maxFractionOfBound()).To(BeNumerically("<=", 1), "seed %d", seed)
+				most = max(most, s.maxFractionOfBound())
+				calmCalls, refused, calmCallsLeaderless, refusedLeaderless = calmCalls+s.calmCalls, refused+s.refused,
+					calmCallsLeaderless+s.calmCallsLeaderless, refusedLeaderless+s.refusedLeaderless
+				for _, n := range s.reached[10*rateTicks : 50*rateTicks] {
+					hotCalls += n
 				}
-				equal := playRates(c.daemons, c.rate, seed, newEqualShare)
-				mostEqual, refusedEqual = max(mostEqual, equal.most()), refusedEqual+equal.refused
+				equal := simulateRates(c.daemons, c.rate, seed, newEqualShare)
+				mostEqual, refusedEqual = max(mostEqual, equal.maxFractionOfBound()), refusedEqual+equal.refused
 			}
-			t.Logf("at most %.2f of the bound, %.2f of the rate used at four times its load; below the rate %.3f refused with a leader, %.3f without; equal shares: %.2f of the bound, %.3f refused",
-				most, float64(calls)/(40*c.rate*float64(c.seeds)), float64(refused)/float64(asked), float64(alone)/float64(max(askedAlone, 1)),
-				mostEqual, float64(refusedEqual)/float64(asked))
-			g.Expect(float64(refused)).To(BeNumerically("<=", 0.05*float64(asked)+2))
+			// All values are fractions: of the bound, of the hot upstream's rate, and of the calls to the calm one.
+			t.Logf(
+				"bound %.2f, rate used %.2f; refused %.3f with leader, %.3f without; equal: bound %.2f, refused %.3f",
+				most, float64(hotCalls)/(40*c.rate*float64(c.seeds)),
+				float64(refused)/float64(calmCalls), float64(refusedLeaderless)/float64(max(calmCallsLeaderless, 1)),
+				mostEqual, float64(refusedEqual)/float64(calmCalls))
+			g.Expect(float64(refused)).To(BeNumerically("<=", 0.05*float64(calmCalls)+2))
 		})
 	}
 }
--- a/internal/admission/twquota/rate_fleet_test.go
+++ b/internal/admission/twquota/rate_fleet_test.go
@@ -15,74 +15,77 @@
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
 )
 
-// The spans after which daemons miss the leader, the leader misses them, and a lost daemon no longer counts as cut off.
 const (
-	leaderSpan = 700 * time.Millisecond
-	memberSpan = 1500 * time.Millisecond
-	absentSpan = 12 * time.Second
+	// A daemon misses the leader after followerTimeout without a heartbeat, and the leader misses a daemon after
+	// memberTimeout without an answer. A missed daemon counts as absent until absentTimeout after its last answer.
+	followerTimeout = 700 * time.Millisecond
+	memberTimeout   = 1500 * time.Millisecond
+	absentTimeout   = 12 * time.Second
 )
 
-// admitter is one way to keep the sends of a daemon within the rate of an upstream.
+// admitter is an algorithm that keeps the sends of a daemon within the rate of an upstream.
 type admitter interface {
 	Admit(ctx context.Context, upstream turmericwall.UpstreamKey) error
 }
 
-// throttled is one daemon before upstreams that state rates.
-type throttled struct {
+// rateDaemon is one daemon before upstreams that state rates.
+type rateDaemon struct {
 	fleet *rateFleet
 	index int
-	// rates and throttle are built anew when the daemon restarts; way is the way that is played.
+	// rates, throttle and admitter are new after each restart; admitter is the algorithm that is simulated.
 	rates    *twrates.Rates
 	throttle *twthrottle.Throttle
-	way      admitter
-	// frozen is the time that its steady clock lacks.
-	frozen time.Duration
-	down   bool
-	// heardAt, rank, daemons and standbys are those of the last heartbeat.
-	heardAt       time.Time
-	leader        turmericwall.Member
-	rank, daemons int
-	standbys      []turmericwall.Member
-}
-
-// rateFleet is some daemons in virtual time, of which one leads.
+	admitter admitter
+	// suspended is the time by which its monotonic clock is behind.
+	suspended  time.Duration
+	terminated bool
+	// lastHeartbeatAt is when the last heartbeat was received; leader, rank, daemons and standbys are from it.
+	lastHeartbeatAt time.Time
+	leader          turmericwall.Member
+	rank, daemons   int
+	standbys        []turmericwall.Member
+}
+
+// rateFleet is a cluster of daemons in virtual time.
 type rateFleet struct {
 	turmericwall.PeerClient
 	now     time.Time
 	random  *rand.Rand
-	daemons []*throttled
-	// leading is the leader's index, or -1; cut daemons reach nobody and nobody reaches them.
-	leading int
-	cut     map[int]bool
+	daemons []*rateDaemon
+	// leader is the leader's index, or -1.
+	leader int
+	// partitioned daemons reach no other daemon and are reached by none.
+	partitioned map[int]bool
 	// answeredAt is when a daemon last answered the leader.
 	answeredAt map[int]time.Time
 }
 
-func newRateFleet(daemons int, seed uint64, way func(*throttled) admitter) *rateFleet {
+func newRateFleet(daemons int, seed uint64, newAdmitter func(*rateDaemon) admitter) *rateFleet {
 	f := &rateFleet{
-		now: time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC), random: rand.New(rand.NewPCG(seed, 11)), cut: make(map[int]bool),
-		answeredAt: make(map[int]time.Time),
+		now: time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC), random: rand.New(rand.NewPCG(seed, 11)),
+		partitioned: make(map[int]bool), answeredAt: make(map[int]time.Time),
 	}
 	for i := range daemons {
-		d := &throttled{fleet: f, index: i}
+		d := &rateDaemon{fleet: f, index: i}
 		f.daemons = append(f.daemons, d)
-		d.restart(way)
+		d.restart(newAdmitter)
 	}
 	return f
 }
 
-func (d *throttled) member() turmericwall.Member {
+func (d *rateDaemon) member() turmericwall.Member {
 	return turmericwall.Member{Address: string(rune('A' + d.index))}
 }
 
-func (d *throttled) clock() time.Time { return d.fleet.now.Add(-d.frozen) }
+func (d *rateDaemon) now() time.Time { return d.fleet.now.Add(-d.suspended) }
 
-// restart forgets all that the daemon knew.
-func (d *throttled) restart(way func(*throttled) admitter) {
-	d.heardAt, d.leader, d.rank, d.daemons, d.standbys = time.Time{}, turmericwall.Member{}, 0, 0, nil
-	d.rates = twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: d.clock})
+// restart replaces the daemon by a new incarnation, which has no state.
+func (d *rateDaemon) restart(newAdmitter func(*rateDaemon) admitter) {
+	d.lastHeartbeatAt, d.leader, d.rank, d.daemons, d.standbys = time.Time{}, turmericwall.Member{}, 0, 0, nil
+	d.rates = twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: d.now})
 	d.throttle = twthrottle.New(twthrottle.Config{
-		Rates: d.rates, Backoffs: twbackoff.New(), Peers: d.fleet, Self: d.member(), Leader: d.lead, Now: d.clock, Daemons: d.count, Absent: d.absent,
+		Rates: d.rates, Backoffs: twbackoff.New(), Peers: d.fleet, Self: d.member(),
+		Leader: d.currentLeader, Now: d.now, Daemons: d.countDaemons, Absent: d.countAbsent,
 		Standbys: func() []turmericwall.Member {
 			var others []turmericwall.Member
 			for _, s := range d.standbys {
@@ -100,105 +103,112 @@
 			}
 			return -1
 		},
-		Rank: func() (int, int, time.Time) { return d.rank, d.daemons, d.heardAt },
+		Rank: func() (int, int, time.Time) { return d.rank, d.daemons, d.lastHeartbeatAt },
 	})
-	d.way = way(d)
+	d.admitter = newAdmitter(d)
 }
 
-func (d *throttled) lead() (turmericwall.Member, bool, bool) {
-	if d.fleet.leading == d.index {
+func (d *rateDaemon) currentLeader() (turmericwall.Member, bool, bool) {
+	if d.fleet.leader == d.index {
 		return d.member(), true, true
 	}
-	if d.heardAt.IsZero() || d.clock().Sub(d.heardAt) > leaderSpan {
+	if d.lastHeartbeatAt.IsZero() || d.now().Sub(d.lastHeartbeatAt) > followerTimeout {
 		return turmericwall.Member{}, false, false
 	}
 	return d.leader, false, true
 }
 
-func (d *throttled) count() int {
-	if d.fleet.leading == d.index {
-		return 1 + d.fleet.within(d.index, memberSpan)
+func (d *rateDaemon) countDaemons() int {
+	if d.fleet.leader == d.index {
+		return 1 + d.fleet.countAnswered(d.index, memberTimeout)
 	}
 	return d.daemons
 }
 
-func (d *throttled) absent() int {
-	if d.fleet.leading != d.index {
+func (d *rateDaemon) countAbsent() int {
+	if d.fleet.leader != d.index {
 		return 0
 	}
-	return d.fleet.within(d.index, absentSpan) - d.fleet.within(d.index, memberSpan)
+	return d.fleet.countAnswered(d.index, absentTimeout) - d.fleet.countAnswered(d.index, memberTimeout)
 }
 
-// within is how many daemons answered the leader within the span.
-func (f *rateFleet) within(leader int, span time.Duration) int {
+// countAnswered returns the number of daemons that last answered the leader no longer ago than maxAge.
+func (f *rateFleet) countAnswered(leader int, maxAge time.Duration) int {
 	n := 0
 	for i, at := range f.answeredAt {
-		if i != leader && f.now.Sub(at) <= span {
+		if i != leader && f.now.Sub(at) <= maxAge {
 			n++
 		}
 	}
 	return n
 }
 
-var errCut = errors.New("no answer")
+var errRefused = errors.New("send refused, or daemon not reached")
 
-// Admit carries an ask from one daemon to another. The caller is not known here: a daemon that is cut off asks nobody.
-func (f *rateFleet) Admit(_ context.Context, address string, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+// Admit passes a request from one daemon to another. The requesting daemon is not known here and needs no check: calls
+// are sent only through daemons that are not partitioned.
+func (f *rateFleet) Admit(
+	_ context.Context, address string, ask turmericwall.AdmitAsk,
+) (turmericwall.AdmitReply, error) {
 	index, _ := utf8.DecodeRuneInString(address)
 	d := f.daemons[index-'A']
 	if !f.reaches(d) {
-		return turmericwall.AdmitReply{}, errCut
+		return turmericwall.AdmitReply{}, errRefused
 	}
 	return d.throttle.Grant(ask), nil
 }
 
-// heartbeat plays one exchange between the leader and all that it reaches.
+// heartbeat simulates one exchange of heartbeats between the leader and all daemons that it reaches.
 func (f *rateFleet) heartbeat() {
-	if f.leading < 0 || f.daemons[f.leading].down || f.cut[f.leading] {
+	if f.leader < 0 || f.daemons[f.leader].terminated || f.partitioned[f.leader] {
 		return
 	}
-	leader := f.daemons[f.leading]
+	leader := f.daemons[f.leader]
 	var standbys []turmericwall.Member
 	for _, d := range f.daemons {
 		if d != leader && f.reaches(d) && len(standbys) < 2 {
 			standbys = append(standbys, d.member())
 		}
 	}
-	daemons, rank := leader.count(), 0
+	daemons, rank := leader.countDaemons(), 0
 	for _, d := range f.daemons {
 		if d == leader || !f.reaches(d) {
 			continue
 		}
 		rank++
-		d.heardAt, d.leader, d.rank, d.daemons, d.standbys = d.clock(), leader.member(), rank, daemons, standbys
+		d.lastHeartbeatAt, d.leader, d.rank, d.daemons, d.standbys = d.now(), leader.member(), rank, daemons, standbys
 		d.rates.TakeList(leader.rates.List())
 		leader.rates.TakeList(d.rates.Own())
 		f.answeredAt[d.index] = f.now
 	}
 	for _, d := range f.daemons {
-		if !d.down {
+		if !d.terminated {
 			d.throttle.Forget()
 		}
 	}
 }
 
-func (f *rateFleet) reaches(d *throttled) bool { return !d.down && !f.cut[d.index] }
+func (f *rateFleet) reaches(d *rateDaemon) bool { return !d.terminated && !f.partitioned[d.index] }
 
-// elect makes a daemon the leader; its predecessor's list of those that answered is not known to it.
+// elect makes a daemon the leader. It does not know which daemons answered its predecessor.
 func (f *rateFleet) elect(index int) {
-	f.leading = index
+	f.leader = index
 	clear(f.answeredAt)
 }
 
-// equalShare is the other way: each daemon keeps its part of the rate by itself.
+// equalShare is the alternative algorithm for comparison: each daemon uses an equal share of the rate and requests
+// nothing from others.
 type equalShare struct {
-	daemon *throttled
-	level  map[turmericwall.UpstreamKey]float64
-	at     map[turmericwall.UpstreamKey]time.Time
+	daemon     *rateDaemon
+	level      map[turmericwall.UpstreamKey]float64
+	refilledAt map[turmericwall.UpstreamKey]time.Time
 }
 
-func newEqualShare(d *throttled) admitter {
-	return &equalShare{daemon: d, level: make(map[turmericwall.UpstreamKey]float64), at: make(map[turmericwall.UpstreamKey]time.Time)}
+func newEqualShare(d *rateDaemon) admitter {
+	return &equalShare{
+		daemon: d, level: make(map[turmericwall.UpstreamKey]float64),
+		refilledAt: make(map[turmericwall.UpstreamKey]time.Time),
+	}
 }
 
 func (e *equalShare) Admit(_ context.Context, upstream turmericwall.UpstreamKey) error {
@@ -206,15 +216,15 @@
 	if !limited {
 		return nil
 	}
-	now := e.daemon.clock()
-	at, known := e.at[upstream]
+	now := e.daemon.now()
+	last, known := e.refilledAt[upstream]
 	if !known {
-		at = now
+		last = now
 	}
-	e.at[upstream] = now
-	e.level[upstream] = min(e.level[upstream]+now.Sub(at).Seconds()*rate/float64(max(e.daemon.count(), 1)), 1)
+	e.refilledAt[upstream] = now
+	e.level[upstream] = min(e.level[upstream]+now.Sub(last).Seconds()*rate/float64(max(e.daemon.countDaemons(), 1)), 1)
 	if e.level[upstream] < 1 {
-		return errCut
+		return errRefused
 	}
 	e.level[upstream]--
 	return nil
