--- a/internal/admission/twauthenticator/authenticator.go
+++ b/internal/admission/twauthenticator/authenticator.go
@@ -95,7 +95,7 @@
 func (a *Authenticator) CheckKey(
 	now twboottime.Moment, route turmericwall.Route, headers []string,
 ) (credential Credential, unknown bool, err error) {
-	key, wellFormed := twkeyindex.Bearer(headers)
+	key, wellFormed := twkeyindex.ParseBearer(headers)
 	account, found := turmericwall.ClientAccount{}, false
 	if wellFormed {
 		account, found = a.config.Routes.AccountOfKey(key)
--- a/internal/admission/twkeyindex/index.go
+++ b/internal/admission/twkeyindex/index.go
@@ -1,4 +1,6 @@
-// Package twkeyindex finds whose key a caller presents, without keeping any key.
+// Package twkeyindex finds the owner of the key that a caller presents in its Authorization header. It holds only
+// digests of keys, never the keys. The route plan's table and the keyring of the document look up the keys of calls in
+// it.
 package twkeyindex
 
 import (
@@ -9,16 +11,16 @@
 
 const scheme = "Bearer "
 
-// Index holds the digests of keys. It is immutable.
+// Index maps the digests of keys to their owners. It is immutable.
 //
-// A key is looked up by its digest: how long that takes depends on bytes that a caller can't choose, so it tells nothing
-// about keys.
+// Keys are looked up by digest, so the duration of a lookup depends on bytes that a caller cannot choose and reveals
+// nothing about valid keys.
 type Index struct {
 	owners map[[sha256.Size]byte]int
 }
 
-// New returns an index of keys by their owners' positions. Digests are SHA-256 in hexadecimal digits; one that can't be
-// decoded matches no key.
+// New returns an index of the owners' keys; an owner is known by its position in digests. A digest is the hexadecimal
+// form of a key's SHA-256; one that cannot be decoded matches no key.
 func New(digests [][]string) *Index {
 	ix := &Index{owners: make(map[[sha256.Size]byte]int)}
 	for owner, list := range digests {
@@ -32,14 +34,15 @@
 	return ix
 }
 
-// Digest is the form in which a key is kept.
+// Digest returns the form in which a key is stored: its SHA-256 in hexadecimal digits.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Bearer returns the key of the only Authorization header; ok is false for none, several or another scheme.
-func Bearer(headers []string) (key string, ok bool) {
+// ParseBearer returns the key in the values of a call's Authorization headers. ok is false unless there is exactly one
+// value, with the scheme Bearer and a key that is not empty.
+func ParseBearer(headers []string) (key string, ok bool) {
 	if len(headers) != 1 {
 		return "", false
 	}
@@ -47,7 +50,7 @@
 	return key, ok && key != ""
 }
 
-// Owner returns the position of the key's owner.
+// Owner returns the position of the key's owner; ok is false if no owner has the key.
 func (ix *Index) Owner(key string) (owner int, ok bool) {
 	owner, ok = ix.owners[sha256.Sum256([]byte(key))]
 	return owner, ok
--- a/internal/admission/twkeyindex/index_test.go
+++ b/internal/admission/twkeyindex/index_test.go
@@ -9,7 +9,8 @@
 	"github.com/turmericwall/turmericwall/internal/admission/twkeyindex"
 )
 
-func TestOwnerOfAKey(t *testing.T) {
+// Guards against a key that finds no owner or another one, and against a digest that is accepted in place of its key.
+func TestOwnerFindsTheOwnerOfAKey(t *testing.T) {
 	g := NewWithT(t)
 	ix := twkeyindex.New([][]string{
 		{twkeyindex.Digest("a1"), twkeyindex.Digest("a2")}, nil, {twkeyindex.Digest("c1"), "not hexadecimal", "00"},
@@ -25,13 +26,14 @@
 	}
 }
 
-func TestBearerTakesOneWellFormedHeader(t *testing.T) {
+// Guards against a key that is read from several headers, a malformed one or another scheme.
+func TestParseBearerAcceptsOnlyOneWellFormedHeader(t *testing.T) {
 	g := NewWithT(t)
-	key, ok := twkeyindex.Bearer([]string{"Bearer k"})
+	key, ok := twkeyindex.ParseBearer([]string{"Bearer k"})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(key).To(Equal("k"))
 	for _, headers := range [][]string{nil, {""}, {"Bearer"}, {"Bearer "}, {"k"}, {"Basic k"}, {"Bearer k", "Bearer k"}} {
-		_, ok := twkeyindex.Bearer(headers)
+		_, ok := twkeyindex.ParseBearer(headers)
 		g.Expect(ok).To(BeFalse(), "%q", headers)
 	}
 }
--- a/internal/admission/twkeyring/keyring.go
+++ b/internal/admission/twkeyring/keyring.go
@@ -23,7 +23,7 @@
 
 // Find returns the account whose key the Authorization header holds.
 func (k *Keyring) Find(document *turmericwall.Document, header string) (turmericwall.Account, bool) {
-	key, ok := twkeyindex.Bearer([]string{header})
+	key, ok := twkeyindex.ParseBearer([]string{header})
 	if !ok {
 		return turmericwall.Account{}, false
 	}
