--- a/internal/admission/twkeyring/keyring.go
+++ b/internal/admission/twkeyring/keyring.go
@@ -1,4 +1,5 @@
-// Package twkeyring finds the account of a bearer key in the document in force.
+// Package twkeyring finds the account of a bearer key in the configuration document in force. The edge calls it for
+// each request before the account's limit is checked.
 package twkeyring
 
 import (
@@ -8,12 +9,12 @@
 	"github.com/turmericwall/turmericwall/internal/admission/twkeyindex"
 )
 
-// Keyring holds an index of the document's keys, made once for each revision.
+// Keyring caches the index of the keys of one document, so that it is built once for each revision.
 type Keyring struct {
-	indexed atomic.Pointer[indexed]
+	current atomic.Pointer[documentIndex]
 }
 
-type indexed struct {
+type documentIndex struct {
 	document *turmericwall.Document
 	keys     *twkeyindex.Index
 }
@@ -21,28 +22,30 @@
 // New returns an empty keyring.
 func New() *Keyring { return &Keyring{} }
 
-// Find returns the account whose key the Authorization header holds.
+// Find returns the document's account whose key the value of an Authorization header contains; it reports false if the
+// header is malformed or no account has the key.
 func (k *Keyring) Find(document *turmericwall.Document, header string) (turmericwall.Account, bool) {
 	key, ok := twkeyindex.ParseBearer([]string{header})
 	if !ok {
 		return turmericwall.Account{}, false
 	}
-	owner, ok := k.of(document).Owner(key)
+	owner, ok := k.indexOf(document).Owner(key)
 	if !ok {
 		return turmericwall.Account{}, false
 	}
 	return document.Accounts()[owner], true
 }
 
-func (k *Keyring) of(document *turmericwall.Document) *twkeyindex.Index {
-	if known := k.indexed.Load(); known != nil && known.document == document {
-		return known.keys
+// indexOf returns the index of the document's keys and builds it if another document was indexed last.
+func (k *Keyring) indexOf(document *turmericwall.Document) *twkeyindex.Index {
+	if cached := k.current.Load(); cached != nil && cached.document == document {
+		return cached.keys
 	}
 	digests := make([][]string, 0, len(document.Accounts()))
 	for _, a := range document.Accounts() {
 		digests = append(digests, []string{a.KeySHA256})
 	}
-	made := &indexed{document: document, keys: twkeyindex.New(digests)}
-	k.indexed.Store(made)
-	return made.keys
+	built := &documentIndex{document: document, keys: twkeyindex.New(digests)}
+	k.current.Store(built)
+	return built.keys
 }
