--- a/internal/admission/twlimiter/limiter.go
+++ b/internal/admission/twlimiter/limiter.go
@@ -1,4 +1,5 @@
-// Package twlimiter bounds the requests of each account.
+// Package twlimiter keeps the requests of each account within its rate and burst. The edge calls it for each request
+// after the account is authenticated.
 package twlimiter
 
 import (
@@ -10,10 +11,10 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Limiter holds one token bucket for each account, as this daemon's share of the account's limit.
+// Limiter holds one token bucket for each account, with this daemon's share of the account's limit.
 //
-// The balancer spreads an account's calls over all daemons, so each grants its share of the rate. A
-// bucket never holds less than one request, or an account with a small burst could not call at all.
+// The load balancer spreads an account's requests over all daemons, so each daemon grants an equal share of the rate.
+// The capacity of a bucket is at least one request, because otherwise an account with a small burst could send none.
 type Limiter struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
@@ -24,8 +25,8 @@
 // New returns a limiter without accounts.
 func New() *Limiter { return &Limiter{buckets: make(map[string]*bucket)} }
 
-// Admit takes one request of the account, at a daemon that is one of so many; it returns when to come
-// back if the account is over its limit.
+// Admit admits one request of the account if this daemon's share of the limit allows it; daemons is the number of live
+// daemons. If the account is over its limit, admitted is false and retryAt is when the request would be admitted.
 func (l *Limiter) Admit(now time.Time, account turmericwall.Account, daemons int) (retryAt time.Time, admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,6 +40,7 @@
 	return now.Add(wait), false
 }
 
+// bucket returns the account's bucket with its limits set to the given share; the lock is held.
 func (l *Limiter) bucket(now time.Time, account turmericwall.Account, share float64) *bucket {
 	perSecond := rate.Limit(account.RequestsPerSecond * share)
 	burst := max(1, int(float64(account.Burst)*share))
