--- a/internal/admission/twauthenticator/authenticator.go
+++ b/internal/admission/twauthenticator/authenticator.go
@@ -1,6 +1,6 @@
 // Package twauthenticator finds the client account of a call by the key in its Authorization header, and refuses keys
-// that may have been removed. A call is authenticated once its route is known and before its account is charged. The key
-// of a model call is checked again before the call is sent.
+// that may have been removed. A call is authenticated once its route is known and before its account is charged. The
+// key of a model call is checked again before the call is sent.
 package twauthenticator
 
 import (
