--- a/internal/membership/twcluster/cluster.go
+++ b/internal/membership/twcluster/cluster.go
@@ -1,4 +1,6 @@
-// Package twcluster keeps the live daemons known: the leader sends heartbeats to all, the others hear it.
+// Package twcluster tracks which daemons are live. The leader sends heartbeats to all other daemons; a heartbeat
+// names the leader and its standbys, and carries state that every daemon needs at its next placement. The package
+// stands beside a request's way: placement, quotas and the plan follow the leader that it reports.
 package twcluster
 
 import (
@@ -12,81 +14,89 @@
 )
 
 const (
-	// heartbeatInterval is the pause between two heartbeats.
+	// heartbeatInterval is the time between two heartbeats to the same daemon.
 	heartbeatInterval = 250 * time.Millisecond
-	// heartbeatTimeout ends one heartbeat: a leader that is slow to answer is no better than none.
+	// heartbeatTimeout is the time limit of one heartbeat call: a leader that is slow to answer is no better than
+	// none.
 	heartbeatTimeout = 400 * time.Millisecond
-	// leaderTimeout is how long after its last heartbeat the leader counts as live: nearly three heartbeats.
+	// leaderTimeout is how long the leader counts as live after its last heartbeat: nearly three heartbeat intervals.
 	leaderTimeout = 700 * time.Millisecond
-	// memberTimeout is how long after its last answer a daemon counts as live.
+	// memberTimeout is how long a daemon counts as live after its last reply to a heartbeat.
 	memberTimeout = 1500 * time.Millisecond
-	// forgetSpan is how long a member that answers nothing is remembered; a daemon that hears no leader joins again.
-	forgetSpan = time.Minute
-	// maxNominations is how often a daemon is asked to take the lease before another one is: two may be lost.
+	// memberRetention is how long a daemon that does not reply stays on the list of members. A daemon that receives
+	// no heartbeats joins again by itself.
+	memberRetention = time.Minute
+	// maxNominations is how many heartbeats ask one daemon to take the lease before another daemon is asked: two may
+	// be lost.
 	maxNominations = 3
 )
 
-// Config says what the cluster works with.
+// Config holds the settings, state providers and callbacks of a cluster.
 type Config struct {
 	Peers    turmericwall.PeerClient
 	Self     turmericwall.Member
 	Recorder turmericwall.Recorder
-	// Leading tells that this daemon is the leader, and its term.
+	// Leading reports whether this daemon is the leader, and its term.
 	Leading func() (term int64, ok bool)
-	// LeaseVersion is the version of the lease's row as this daemon knows it, and LeaseTold takes it from the leader.
+	// LeaseVersion is the version of the lease's row as this daemon knows it. LeaseTold applies the version that the
+	// leader sent.
 	LeaseVersion func() int64
 	LeaseTold    func(version int64, leader turmericwall.Member)
-	// LeaseExpired tells that the leader could not renew its lease within the term; it may be nil.
+	// LeaseExpired reports whether the leader failed to renew its lease within the term; it may be nil.
 	LeaseExpired func() bool
-	// PlanVersion and UpstreamsPosition are how much this daemon knows.
+	// PlanVersion and UpstreamsPosition are the newest route plan and the newest position of the upstream list on
+	// this daemon.
 	PlanVersion       func() int64
 	UpstreamsPosition func() int64
-	// ReadAt is when this daemon itself asked the store for the last answer that it got; zero when it never did.
+	// ReadAt returns when this daemon itself sent its last answered read to the store; zero before the first one.
 	ReadAt func() time.Time
-	// Proof is what this daemon knows of its plan being in force.
+	// Proof tracks up to which time this daemon's plan is known to be in force.
 	Proof *twproof.Proof
-	// Staleness is the largest age of knowledge that a daemon acts on.
+	// Staleness is the largest age of state that a daemon acts on.
 	Staleness time.Duration
-	// Behind is called when another daemon knows newer state than this one.
+	// Behind is called to fetch state from another daemon that has newer state than this one.
 	Behind func(ctx context.Context, other turmericwall.Member)
 	// LinkMegabits is the rate of this daemon's network link in Mbit/s.
 	LinkMegabits float64
 	Zone         string
-	// Stopping tells that this daemon gives the lease up while it is the leader.
+	// Stopping reports whether this daemon has to give the lease up while it is the leader.
 	Stopping func() bool
-	// Nominated is called when the leader asks this daemon to take its place.
+	// Nominated is called when the leader asks this daemon to take the lease.
 	Nominated func()
 	// Outranked is called when another daemon is the leader of a later term.
 	Outranked func()
-	// Changing are the engines that change their role, and ChangingTold takes them from the leader.
+	// Changing lists the engines that are changing role. ChangingTold applies the leader's list.
 	Changing     func() []turmericwall.ChangingEngine
 	ChangingTold func([]turmericwall.ChangingEngine)
-	// Uses is what this daemon counted for quotas by itself, and TakeUses takes another one's. Levels is what is left of
-	// quotas by the leader's count, and TakeLevels takes it from the leader.
+	// Uses is what this daemon itself counted against quotas, and TakeUses records the counts of another daemon.
+	// Levels is what is left of quotas by the leader's count, and TakeLevels applies the leader's levels.
 	Uses       func() []turmericwall.AccountUse
 	TakeUses   func(incarnation string, up time.Duration, uses []turmericwall.AccountUse)
 	Levels     func() []turmericwall.AccountLevel
 	TakeLevels func(leader string, levels []turmericwall.AccountLevel)
-	// Rates are those that upstreams state, and OwnRates those that this daemon received itself; TakeRates takes another one's.
+	// Rates are the rate limits that upstreams state, and OwnRates those that this daemon received itself. TakeRates
+	// applies the rates of another daemon.
 	Rates     func() []turmericwall.UpstreamRate
 	OwnRates  func() []turmericwall.UpstreamRate
 	TakeRates func([]turmericwall.UpstreamRate)
-	// Leaving are the upstreams that announced their end in answers, and TakeLeaving takes those that another daemon knows.
+	// Leaving lists the upstreams that announced in an answer that they leave. TakeLeaving applies the list of
+	// another daemon.
 	Leaving     func() []turmericwall.UpstreamKey
 	TakeLeaving func([]turmericwall.UpstreamKey)
 	// Gone is called for an incarnation that is no longer live.
 	Gone func(incarnation string)
 }
 
-// Cluster is one daemon's view of the others.
+// Cluster is one daemon's view of the other daemons. Its methods are safe for concurrent use.
 type Cluster struct {
 	config    Config
-	began     time.Time
+	startedAt time.Time
 	mu        sync.Mutex
-	heartbeat turmericwall.Heartbeat
-	heardAt   time.Time
-	// learnedAt is when the store was asked for the newest state that this daemon has from a peer.
-	learnedAt time.Time
+	// heartbeat is the last one received, and lastHeartbeatAt the time of it.
+	heartbeat       turmericwall.Heartbeat
+	lastHeartbeatAt time.Time
+	// peerFreshAt is when the store was queried for the newest state that this daemon has from a peer.
+	peerFreshAt time.Time
 	// electedAt is when this daemon last became the leader.
 	electedAt time.Time
 	// members are the other daemons by address.
@@ -95,60 +105,63 @@
 	// copiedVersion is the version of the leader's list of members that this daemon has copied.
 	copiedVersion int64
 	standbys      []turmericwall.Member
-	// informed is what Informed last told.
-	informed bool
-	// ahead is the daemon whose state this one has to fetch.
-	ahead chan turmericwall.Member
-	// sendNow wakes the loop that sends heartbeats.
+	// wasFresh is the last result of Informed, so that only changes are logged.
+	wasFresh bool
+	// fetchRequests holds the daemon from which state has to be fetched next.
+	fetchRequests chan turmericwall.Member
+	// sendNow triggers the next round of heartbeats without waiting for heartbeatInterval.
 	sendNow chan struct{}
 }
 
 // New returns a cluster that knows only this daemon.
 func New(config Config) *Cluster {
 	return &Cluster{
-		config: config, began: time.Now(), members: make(map[string]*member),
-		ahead: make(chan turmericwall.Member, 1), sendNow: make(chan struct{}, 1),
+		config: config, startedAt: time.Now(), members: make(map[string]*member),
+		fetchRequests: make(chan turmericwall.Member, 1), sendNow: make(chan struct{}, 1),
 	}
 }
 
-// Elected tells that this daemon has become the leader: the others must hear of it at once, or they place calls with the
-// former leader or alone, beside this daemon's.
+// Elected records that this daemon has become the leader and sends heartbeats at once. Until the other daemons
+// receive one, they place calls with the former leader or locally, in conflict with this daemon's placements.
 func (c *Cluster) Elected() {
 	c.mu.Lock()
 	c.electedAt = time.Now()
 	c.mu.Unlock()
-	wake(c.sendNow)
+	signal(c.sendNow)
 }
 
-func wake(waiting chan struct{}) {
+// signal sends to ch unless a signal is already pending.
+func signal(ch chan struct{}) {
 	select {
-	case waiting <- struct{}{}:
+	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// fetchFrom has this daemon fetch another one's state, unless such a fetch waits already.
-func (c *Cluster) fetchFrom(other turmericwall.Member) {
+// requestFetch requests a fetch of another daemon's state, unless one is already requested.
+func (c *Cluster) requestFetch(other turmericwall.Member) {
 	select {
-	case c.ahead <- other:
+	case c.fetchRequests <- other:
 	default:
 	}
 }
 
-// Heard takes a heartbeat and answers who this daemon is.
+// Heard applies a heartbeat and returns this daemon's reply. A heartbeat of an earlier term is ignored while the
+// leader of the later term is live.
 func (c *Cluster) Heard(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 	self := c.Self()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if heartbeat.Term < c.heartbeat.Term && time.Since(c.heardAt) < leaderTimeout {
+	if heartbeat.Term < c.heartbeat.Term && time.Since(c.lastHeartbeatAt) < leaderTimeout {
 		return self
 	}
 	if heartbeat.Leader != c.heartbeat.Leader {
 		c.copiedVersion = 0
-		c.config.Recorder.Record(turmericwall.EventLeaderHeard).Str("leader", heartbeat.Leader.Name).Int("term", heartbeat.Term).Send()
+		c.config.Recorder.Record(turmericwall.EventLeaderHeard).
+			Str("leader", heartbeat.Leader.Name).Int("term", heartbeat.Term).Send()
 	}
 	c.heartbeat = heartbeat
-	c.heardAt = time.Now()
+	c.lastHeartbeatAt = time.Now()
 	if term, leading := c.config.Leading(); leading && heartbeat.Term > term && c.config.Outranked != nil {
 		c.config.Outranked()
 	}
@@ -157,10 +170,10 @@
 	}
 	behind := heartbeat.PlanVersion > self.PlanVersion || heartbeat.UpstreamsPosition > self.UpstreamsPosition
 	if !behind {
-		c.learned(c.heardAt.Add(-time.Duration(heartbeat.StoreMillis) * time.Millisecond))
+		c.recordPeerFreshAt(c.lastHeartbeatAt.Add(-time.Duration(heartbeat.StoreMillis) * time.Millisecond))
 	}
 	if behind || (c.isStandby() && heartbeat.MembersVersion != c.copiedVersion) {
-		c.fetchFrom(heartbeat.Leader)
+		c.requestFetch(heartbeat.Leader)
 	}
 	c.config.LeaseTold(heartbeat.LeaseVersion, heartbeat.Leader)
 	if c.config.ChangingTold != nil {
@@ -184,33 +197,34 @@
 	return self
 }
 
-// Informed tells that another daemon leads and that its knowledge of the store is new enough.
+// Informed reports whether another daemon leads and its state is younger than Config.Staleness.
 func (c *Cluster) Informed() bool {
-	heard := c.LeaderHeard()
+	leaderLive := c.LeaderHeard()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	age := time.Since(c.heardAt) + time.Duration(c.heartbeat.StoreMillis)*time.Millisecond
-	informed := heard && age < c.config.Staleness
-	if informed != c.informed {
-		c.informed = informed
+	age := time.Since(c.lastHeartbeatAt) + time.Duration(c.heartbeat.StoreMillis)*time.Millisecond
+	informed := leaderLive && age < c.config.Staleness
+	if informed != c.wasFresh {
+		c.wasFresh = informed
 		event := turmericwall.EventLeaderStale
 		if informed {
 			event = turmericwall.EventInformedByLeader
 		}
 		c.config.Recorder.Record(event).Str("leader", c.heartbeat.Leader.Name).Int("term", c.heartbeat.Term).
-			Int("heardMillis", time.Since(c.heardAt).Milliseconds()).Int("storeMillis", c.heartbeat.StoreMillis).Send()
+			Int("heardMillis", time.Since(c.lastHeartbeatAt).Milliseconds()).
+			Int("storeMillis", c.heartbeat.StoreMillis).Send()
 	}
 	return informed
 }
 
-// Self is what this daemon tells others of itself. How old its knowledge is, is taken before what it knows: the other way
-// round, a read that ends between the two would vouch for a plan from before it.
+// Self returns this daemon's state as it reports it to peers. The ages are read before the state itself: in the other
+// order, a read of the store that ends between the two would confirm a plan that is older than that read.
 func (c *Cluster) Self() turmericwall.HeartbeatReply {
-	moment := twboottime.Now()
+	now := twboottime.Now()
 	reply := turmericwall.HeartbeatReply{
-		Member: c.config.Self, UpMillis: time.Since(c.began).Milliseconds(), LinkMegabits: c.config.LinkMegabits,
+		Member: c.config.Self, UpMillis: time.Since(c.startedAt).Milliseconds(), LinkMegabits: c.config.LinkMegabits,
 		Zone: c.config.Zone, Stopping: c.config.Stopping != nil && c.config.Stopping(),
-		ReadMillis: -1, ProofMillis: c.config.Proof.AgeMillis(moment), Moment: int64(moment),
+		ReadMillis: -1, ProofMillis: c.config.Proof.AgeMillis(now), Moment: int64(now),
 	}
 	if at := c.config.ReadAt(); !at.IsZero() {
 		reply.ReadMillis = time.Since(at).Milliseconds()
@@ -228,54 +242,54 @@
 	return reply
 }
 
-// FreshAt is when the store was asked for the newest state that this daemon has, by itself or by others; zero when there
-// is none.
+// FreshAt returns when the store was queried for the newest state that this daemon has, from its own reads or from
+// peers; zero when it has none.
 func (c *Cluster) FreshAt() time.Time {
 	at := c.config.ReadAt()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.learnedAt.After(at) {
-		return c.learnedAt
+	if c.peerFreshAt.After(at) {
+		return c.peerFreshAt
 	}
 	return at
 }
 
-// Learned notes that this daemon has all that a peer knew, for which the store was asked at that time.
+// Learned records that this daemon has all the state of a peer, which was queried from the store at the given time.
 func (c *Cluster) Learned(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.learned(at)
+	c.recordPeerFreshAt(at)
 }
 
-func (c *Cluster) learned(at time.Time) {
-	if at.After(c.learnedAt) {
-		c.learnedAt = at
+func (c *Cluster) recordPeerFreshAt(at time.Time) {
+	if at.After(c.peerFreshAt) {
+		c.peerFreshAt = at
 	}
 }
 
-// Leader returns the live leader; self tells that it is this daemon.
+// Leader returns the live leader. self is true if that is this daemon; ok is false when no leader is live.
 func (c *Cluster) Leader() (leader turmericwall.Member, self, ok bool) {
 	if _, leading := c.config.Leading(); leading {
 		return c.config.Self, true, true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.heardAt) > leaderTimeout {
+	if time.Since(c.lastHeartbeatAt) > leaderTimeout {
 		return turmericwall.Member{}, false, false
 	}
 	return c.heartbeat.Leader, false, true
 }
 
-// LeaderHeard tells that another daemon is the leader and lives.
+// LeaderHeard reports whether another daemon is the live leader.
 func (c *Cluster) LeaderHeard() bool {
 	_, self, ok := c.Leader()
 	return ok && !self
 }
 
-// Daemons is the number of live daemons as last known; 0 while it is unknown.
+// Daemons returns the number of live daemons as last known, or 0 while it is unknown.
 //
-// A daemon that has heard no leader, or has just become one, does not know the others. If each took itself for the only
-// one, all would spend what all together may repeat.
+// A daemon that has received no heartbeat, or has just become the leader, does not know the others. If each such
+// daemon counted itself alone, each would spend the whole retry budget that all daemons share.
 func (c *Cluster) Daemons() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -291,35 +305,37 @@
 	return max(n, c.heartbeat.Daemons/2)
 }
 
-// Rank is this daemon's place among all by the last heartbeat, how many there were, and when it came. There are none before
-// the first one.
+// Rank returns this daemon's position among all daemons by the last heartbeat (from 0), the number of daemons in it,
+// and when it was received. All are zero before the first heartbeat.
 func (c *Cluster) Rank() (rank, daemons int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heartbeat.Rank, c.heartbeat.Daemons, c.heardAt
+	return c.heartbeat.Rank, c.heartbeat.Daemons, c.lastHeartbeatAt
 }
 
-// absentSpan is how long a member that does not answer counts as absent: it may be cut off.
-const absentSpan = 12 * time.Second
+// unresponsiveSpan is how long a member that does not reply counts as unresponsive instead of terminated: it may be
+// partitioned.
+const unresponsiveSpan = 12 * time.Second
 
-// Absent is how many daemons this leader knows that don't answer it but did so lately.
+// Absent returns how many daemons replied to this leader within unresponsiveSpan but do not reply now. Daemons that
+// announced their stop are not counted.
 func (c *Cluster) Absent() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for _, m := range c.members {
-		if !m.live && m.Incarnation != "" && !m.Stopping && time.Since(m.answeredAt) < absentSpan {
+		if !m.live && m.Incarnation != "" && !m.Stopping && time.Since(m.answeredAt) < unresponsiveSpan {
 			n++
 		}
 	}
 	return n
 }
 
-// Run sends heartbeats while this daemon is the leader, and fetches what others know, until ctx ends.
+// Run sends heartbeats while this daemon is the leader, and fetches newer state from peers, until ctx ends.
 func (c *Cluster) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	go func() { ended <- c.fetch(ctx) }()
+	go func() { ended <- c.runFetches(ctx) }()
 	defer func() { cancel(); <-ended }()
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
@@ -332,20 +348,20 @@
 		}
 		term, leading := c.config.Leading()
 		if !leading {
-			c.rest()
+			c.resetLiveness()
 			continue
 		}
 		c.sendHeartbeats(ctx, term)
 	}
 }
 
-// fetch has a loop of its own: a peer that is slow to answer must not delay the heartbeats.
-func (c *Cluster) fetch(ctx context.Context) error {
+// runFetches is a loop of its own, so that a slow peer does not delay the heartbeats.
+func (c *Cluster) runFetches(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case other := <-c.ahead:
+		case other := <-c.fetchRequests:
 			if c.config.Behind != nil {
 				c.config.Behind(ctx, other)
 			}
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -20,22 +20,23 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twaway"
 )
 
-// store is the rows of all tables, with a switch that takes it away.
+// store simulates the tables of the store. It can be made unavailable, unresponsive or closed to one daemon's writes.
 type store struct {
-	mu      sync.Mutex
-	version int64
-	rows    map[string]map[string]turmericwall.FeedRow
-	away    bool
-	// silent calls are answered by nothing.
-	silent bool
-	// refused is the daemon whose writes are turned away.
-	refused string
+	mu          sync.Mutex
+	version     int64
+	rows        map[string]map[string]turmericwall.FeedRow
+	unavailable bool
+	// unresponsive makes calls wait until the client gives up.
+	unresponsive bool
+	// refusedDaemon is the name of the daemon whose writes fail; empty for none.
+	refusedDaemon string
 }
 
+// refuse fails all writes of the daemon.
 func (s *store) refuse(daemon string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused = daemon
+	s.refusedDaemon = daemon
 }
 
 func newStore() *store { return &store{rows: make(map[string]map[string]turmericwall.FeedRow)} }
@@ -43,14 +44,14 @@
 func (s *store) Rows(ctx context.Context, table string) (turmericwall.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silent {
+	if s.unresponsive {
 		s.mu.Unlock()
-		silence(ctx)
+		awaitClientTimeout(ctx)
 		s.mu.Lock()
-		return turmericwall.Snapshot{}, errors.New("no answer")
+		return turmericwall.Snapshot{}, errors.New("no reply from the store")
 	}
-	if s.away {
-		return turmericwall.Snapshot{}, errors.New("away")
+	if s.unavailable {
+		return turmericwall.Snapshot{}, errors.New("store unavailable")
 	}
 	var list []turmericwall.FeedRow
 	for _, row := range s.rows[table] {
@@ -59,18 +60,18 @@
 	return turmericwall.Snapshot{Rows: list, Version: s.version}, nil
 }
 
-// silence lasts as long as the store's client waits for an answer.
-func silence(ctx context.Context) {
+// awaitClientTimeout waits as long as the store's client waits for a reply.
+func awaitClientTimeout(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(1500 * time.Millisecond):
 	}
 }
 
-func (s *store) setSilent() {
+func (s *store) setUnresponsive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = true
+	s.unresponsive = true
 }
 
 func (s *store) Changes(context.Context, string, int64, time.Duration) (turmericwall.Snapshot, error) {
@@ -80,8 +81,8 @@
 func (s *store) Swap(_ context.Context, table, key string, ifVersion int64, value []byte) (int64, turmericwall.FeedRow, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away || (s.refused != "" && strings.Contains(string(value), `"name":"`+s.refused+`"`)) {
-		return 0, turmericwall.FeedRow{}, false, errors.New("away")
+	if s.unavailable || (s.refusedDaemon != "" && strings.Contains(string(value), `"name":"`+s.refusedDaemon+`"`)) {
+		return 0, turmericwall.FeedRow{}, false, errors.New("store unavailable")
 	}
 	if s.rows[table] == nil {
 		s.rows[table] = make(map[string]turmericwall.FeedRow)
@@ -94,26 +95,26 @@
 	return s.version, turmericwall.FeedRow{}, true, nil
 }
 
-func (s *store) setAway(away bool) {
+func (s *store) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-// network carries heartbeats between the daemons of a test.
+// network delivers heartbeats between the daemons of a test. A partitioned daemon neither sends nor receives any.
 type network struct {
-	mu       sync.Mutex
-	clusters map[string]*twcluster.Cluster
-	cut      map[string]bool
+	mu          sync.Mutex
+	clusters    map[string]*twcluster.Cluster
+	partitioned map[string]bool
 }
 
 func (n *network) Heartbeat(_ context.Context, address string, heartbeat turmericwall.Heartbeat) (turmericwall.HeartbeatReply, error) {
 	n.mu.Lock()
 	cluster, ok := n.clusters[address]
-	cut := n.cut[address] || n.cut[heartbeat.Leader.Address]
+	partitioned := n.partitioned[address] || n.partitioned[heartbeat.Leader.Address]
 	n.mu.Unlock()
-	if !ok || cut {
-		return turmericwall.HeartbeatReply{}, errors.New("no path")
+	if !ok || partitioned {
+		return turmericwall.HeartbeatReply{}, errors.New("peer unreachable")
 	}
 	return cluster.Heard(heartbeat), nil
 }
@@ -122,8 +123,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	cluster, ok := n.clusters[address]
-	if !ok || n.cut[address] {
-		return turmericwall.SharedState{}, errors.New("no path")
+	if !ok || n.partitioned[address] {
+		return turmericwall.SharedState{}, errors.New("peer unreachable")
 	}
 	version, members := cluster.Members()
 	return turmericwall.SharedState{Members: members, MembersVersion: version}, nil
@@ -140,7 +141,7 @@
 	return turmericwall.AdmitReply{}, nil
 }
 
-// join makes a daemon and all others known to each other, as seeds do.
+// join adds a daemon to the others and the others to it, as configured seeds do.
 func (n *network) join(address string, cluster *twcluster.Cluster) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -151,65 +152,67 @@
 	n.clusters[address] = cluster
 }
 
-func (n *network) setCut(address string, cut bool) {
+func (n *network) setPartitioned(address string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[address] = cut
+	n.partitioned[address] = partitioned
 }
 
+// daemon is one daemon's cluster and election, with what the test observes and changes of it.
 type daemon struct {
-	cluster  *twcluster.Cluster
-	election *twelection.Election
-	stop     func()
-	mu       sync.Mutex
-	gone     []string
-	stopping bool
-	// blind tells that this daemon can't read the store any more.
-	blind bool
-	// cutAt is when this daemon lost its way to the store.
-	cutAt time.Time
-	// reluctant daemons read the store only as the leader or as a standby; readLast is when this one last did.
-	reluctant bool
-	readLast  time.Time
-	away      *twaway.Away
-	proof     *twproof.Proof
+	cluster          *twcluster.Cluster
+	election         *twelection.Election
+	stop             func()
+	mu               sync.Mutex
+	lostIncarnations []string
+	stopping         bool
+	// readsFail is set when this daemon's last answered read of the store is a minute old.
+	readsFail bool
+	// storeLostAt is when this daemon lost its connection to the store; zero while it has one.
+	storeLostAt time.Time
+	// readsOnlyInRole limits reads of the store to a leader or a standby; lastReadAt is the time of the last read.
+	readsOnlyInRole bool
+	lastReadAt      time.Time
+	roleChanges     *twaway.Away
+	proof           *twproof.Proof
 }
 
 func (d *daemon) readAt() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.blind {
+	if d.readsFail {
 		return time.Now().Add(-time.Minute)
 	}
-	if !d.cutAt.IsZero() {
-		return d.cutAt
+	if !d.storeLostAt.IsZero() {
+		return d.storeLostAt
 	}
-	if _, leading := d.election.Holds(); d.reluctant && !leading && d.cluster.StandbyRank() < 0 {
-		return d.readLast
+	if _, leading := d.election.Holds(); d.readsOnlyInRole && !leading && d.cluster.StandbyRank() < 0 {
+		return d.lastReadAt
 	}
-	d.readLast = time.Now()
-	return d.readLast
+	d.lastReadAt = time.Now()
+	return d.lastReadAt
 }
 
-func (d *daemon) lost() []string {
+func (d *daemon) lostPeers() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.gone...)
+	return append([]string(nil), d.lostIncarnations...)
 }
 
 func start(t *testing.T, s *store, n *network, name string) *daemon {
 	t.Helper()
-	return startPatient(t, s, n, name, 0)
+	return startWithDelay(t, s, n, name, 0)
 }
 
-func startPatient(t *testing.T, s *store, n *network, name string, patience time.Duration) *daemon {
+// startWithDelay starts a daemon that has to receive no heartbeat for electionDelay before it seeks the lease.
+func startWithDelay(t *testing.T, s *store, n *network, name string, electionDelay time.Duration) *daemon {
 	t.Helper()
 	log := tweventlog.New(tweventlog.Config{Output: io.Discard})
-	d := &daemon{away: twaway.New()}
+	d := &daemon{roleChanges: twaway.New()}
 	self := turmericwall.Member{Name: name, Address: name, Incarnation: name + "1"}
 	d.proof = twproof.New(twproof.Config{Incarnation: self.Incarnation})
 	d.election = twelection.New(twelection.Config{
-		Store: s, Self: self, Recorder: log, Apart: time.Second, Patience: func() time.Duration { return patience },
+		Store: s, Self: self, Recorder: log, Apart: time.Second, Patience: func() time.Duration { return electionDelay },
 		LeaderHeard: func() bool { return d.cluster.Informed() },
 		Ready:       func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !d.stopping },
 		Elected:     func() { d.cluster.Elected() },
@@ -218,7 +221,8 @@
 	d.cluster = twcluster.New(twcluster.Config{
 		Proof: d.proof,
 		Peers: n, Self: self, Recorder: log, Leading: d.election.Holds, PlanVersion: none, UpstreamsPosition: none,
-		LeaseVersion: d.election.Version, LeaseTold: d.election.Told, ReadAt: d.readAt, Outranked: d.election.Yield, Nominated: d.election.Nominate,
+		LeaseVersion: d.election.Version, LeaseTold: d.election.Told, ReadAt: d.readAt,
+		Outranked: d.election.Yield, Nominated: d.election.Nominate,
 		Behind: func(ctx context.Context, other turmericwall.Member) {
 			if state, err := n.State(ctx, other.Address, turmericwall.StateAsk{}); err == nil {
 				d.cluster.AddMembers(state.MembersVersion, state.Members)
@@ -226,12 +230,12 @@
 		},
 		LeaseExpired: d.election.Expired, Staleness: 1300 * time.Millisecond,
 		Stopping:     func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.stopping },
-		Changing:     func() []turmericwall.ChangingEngine { return d.away.List(time.Now()) },
-		ChangingTold: func(list []turmericwall.ChangingEngine) { d.away.Told(time.Now(), list) },
+		Changing:     func() []turmericwall.ChangingEngine { return d.roleChanges.List(time.Now()) },
+		ChangingTold: func(list []turmericwall.ChangingEngine) { d.roleChanges.Told(time.Now(), list) },
 		Gone: func(incarnation string) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.gone = append(d.gone, incarnation)
+			d.lostIncarnations = append(d.lostIncarnations, incarnation)
 		},
 	})
 	n.join(name, d.cluster)
@@ -245,180 +249,185 @@
 	return d
 }
 
+// leads returns a check that d is the leader.
 func leads(d *daemon) func() bool {
 	return func() bool { _, ok := d.election.Holds(); return ok }
 }
 
-func hears(d *daemon, name string) func() bool {
+// follows returns a check that the named daemon is d's live leader.
+func follows(d *daemon, name string) func() bool {
 	return func() bool {
 		leader, _, ok := d.cluster.Leader()
 		return ok && leader.Name == name
 	}
 }
 
-const patience = 6 * time.Second
+const eventualTimeout = 6 * time.Second
 
-// withLeader starts the daemon a, which becomes the leader.
-func withLeader(t *testing.T, g *WithT) (*store, *network, *daemon) {
+// startLeader starts the daemon a and waits until it is the leader.
+func startLeader(t *testing.T, g *WithT) (*store, *network, *daemon) {
 	t.Helper()
-	s, n := newStore(), &network{clusters: make(map[string]*twcluster.Cluster), cut: make(map[string]bool)}
+	s, n := newStore(), &network{clusters: make(map[string]*twcluster.Cluster), partitioned: make(map[string]bool)}
 	a := start(t, s, n, "a")
-	g.Eventually(leads(a), patience).Should(BeTrue())
+	g.Eventually(leads(a), eventualTimeout).Should(BeTrue())
 	return s, n, a
 }
 
-// The leader dies. Another daemon takes its place within seconds, and all hear it; its first orders wait longer.
-func TestAnotherDaemonTakesADeadLeadersPlace(t *testing.T) {
+// The leader terminates. Another daemon must take the lease, all must follow it, and it must not order engines before
+// the former leader's last order is too old to be carried out.
+func TestTerminatedLeaderIsReplaced(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b, c := start(t, s, n, "b"), start(t, s, n, "c")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
-	g.Eventually(hears(c, "a"), patience).Should(BeTrue())
-	g.Eventually(a.cluster.Daemons, patience).Should(Equal(3))
-	g.Eventually(b.cluster.Daemons, patience).Should(Equal(3))
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
+	g.Eventually(follows(c, "a"), eventualTimeout).Should(BeTrue())
+	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(b.cluster.Daemons, eventualTimeout).Should(Equal(3))
 	_, ok := a.election.Fence()
 	g.Expect(ok).To(BeTrue())
 	a.stop()
-	n.setCut("a", true)
-	g.Eventually(func() bool { return leads(b)() || leads(c)() }, patience).Should(BeTrue())
+	n.setPartitioned("a", true)
+	g.Eventually(func() bool { return leads(b)() || leads(c)() }, eventualTimeout).Should(BeTrue())
 	g.Eventually(func() bool {
-		return hears(b, "b")() && hears(c, "b")() || hears(b, "c")() && hears(c, "c")()
-	}, patience).Should(BeTrue())
+		return follows(b, "b")() && follows(c, "b")() || follows(b, "c")() && follows(c, "c")()
+	}, eventualTimeout).Should(BeTrue())
 	_, ok = b.election.Fence()
 	_, also := c.election.Fence()
-	g.Expect(ok || also).To(BeFalse(), "the dead leader's last order may be on its way")
+	g.Expect(ok || also).To(BeFalse(), "the former leader's last order may still be in transit")
 }
 
-// The store goes away. The leader stays the leader, because it still answers; nobody can take its place meanwhile, and
-// none may order once its term is over.
-func TestTheLeaderStaysThroughAnOutageOfTheStore(t *testing.T) {
+// The store is unavailable. The leader stays the leader, because it still replies and no other daemon can take the
+// lease; no daemon may order engines once the leader's term has expired.
+func TestLeaderStaysThroughStoreOutage(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
-	s.setAway(true)
-	g.Eventually(func() bool { _, ok := a.election.Fence(); return ok }, patience).Should(BeFalse())
-	g.Expect(hears(b, "a")()).To(BeTrue())
-	s.setAway(false)
-	g.Eventually(func() bool { _, ok := a.election.Fence(); return ok }, patience).Should(BeTrue())
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
+	s.setUnavailable(true)
+	g.Eventually(func() bool { _, ok := a.election.Fence(); return ok }, eventualTimeout).Should(BeFalse())
+	g.Expect(follows(b, "a")()).To(BeTrue())
+	s.setUnavailable(false)
+	g.Eventually(func() bool { _, ok := a.election.Fence(); return ok }, eventualTimeout).Should(BeTrue())
 }
 
-// The leader alone loses its way to the store, and its calls there are answered by nothing. It must go on sending heartbeats, or all
-// daemons place calls alone, each knowing a part of the load, until another one has taken the lease.
-func TestALeaderSendsHeartbeatsWhileTheStoreIsSilent(t *testing.T) {
+// The store does not answer the leader. It must still send heartbeats: without them all daemons place calls locally,
+// each with part of the load in view, until another one has taken the lease.
+func TestLeaderSendsHeartbeatsWhileStoreIsUnresponsive(t *testing.T) {
 	g := NewWithT(t)
-	s, n, _ := withLeader(t, g)
+	s, n, _ := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
-	s.setSilent()
-	g.Consistently(hears(b, "a"), patience).Should(BeTrue(), "it reads the daemons' rows every four seconds")
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
+	s.setUnresponsive()
+	g.Consistently(follows(b, "a"), eventualTimeout).Should(BeTrue(),
+		"a call to the store that is not answered must not delay heartbeats")
 }
 
-// A daemon is cut off from the leader. The leader takes its calls back from the books; the daemon itself knows that it
-// hears no leader, and must not take the lease while it is renewed.
-func TestADaemonThatIsCutOffDecidesAloneAndTakesNothing(t *testing.T) {
+// A daemon is partitioned from the leader. The leader releases its placements; the daemon must find that it has no
+// leader, and must not take the lease while the leader renews it.
+func TestPartitionedDaemonHasNoLeaderAndTakesNoLease(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
-	g.Eventually(a.cluster.Daemons, patience).Should(Equal(2))
-	n.setCut("b", true)
-	g.Eventually(a.lost, patience).Should(Equal([]string{"b1"}))
-	g.Eventually(hears(b, "a"), patience).Should(BeFalse())
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
+	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(2))
+	n.setPartitioned("b", true)
+	g.Eventually(a.lostPeers, eventualTimeout).Should(Equal([]string{"b1"}))
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeFalse())
 	g.Consistently(leads(b), 2500*time.Millisecond).Should(BeFalse())
-	n.setCut("b", false)
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
+	n.setPartitioned("b", false)
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 }
 
-// The leader is told to stop, as one of many daemons that are restarted in turn. The daemon that started last takes its
-// place, since it stays the longest. All hear a leader all the while: without one they would place calls alone, and read
-// the store by themselves. The stopping leader goes on placing until it hears the next one, but orders nothing more.
-func TestAStoppingLeaderHandsOver(t *testing.T) {
+// The leader receives a stop signal, as in a restart of all daemons in turn. The daemon that started last must take
+// the lease, since it keeps it the longest. No daemon may be without a leader meanwhile, or it places calls locally
+// and reads the store itself. The draining leader places calls until it receives a heartbeat of the next one, but
+// sends no more orders.
+func TestDrainingLeaderHandsOver(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	c := start(t, s, n, "c")
 	time.Sleep(20 * time.Millisecond)
 	b := start(t, s, n, "b")
-	g.Eventually(a.cluster.Daemons, patience).Should(Equal(3))
+	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
-	var alone atomic.Int64
+	var withoutLeader atomic.Int64
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for ctx.Err() == nil {
 			if _, _, ok := c.cluster.Leader(); !ok {
-				alone.Add(1)
+				withoutLeader.Add(1)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	g.Eventually(func() bool { _, ok := a.election.Fence(); return ok }, patience).Should(BeFalse())
-	g.Eventually(leads(b), patience).Should(BeTrue())
-	g.Eventually(leads(a), patience).Should(BeFalse())
-	g.Eventually(hears(c, "b"), patience).Should(BeTrue())
+	g.Eventually(func() bool { _, ok := a.election.Fence(); return ok }, eventualTimeout).Should(BeFalse())
+	g.Eventually(leads(b), eventualTimeout).Should(BeTrue())
+	g.Eventually(leads(a), eventualTimeout).Should(BeFalse())
+	g.Eventually(follows(c, "b"), eventualTimeout).Should(BeTrue())
 	stop()
 	<-ended
 	g.Expect(leads(c)()).To(BeFalse())
-	g.Expect(alone.Load()).To(BeZero())
+	g.Expect(withoutLeader.Load()).To(BeZero())
 }
 
-// The daemon that should take the lease doesn't: it is cut off, and the stopping leader has not noticed yet. Another one
-// must be asked, or the leader ends and all wait until the lease falls silent.
-func TestAnotherDaemonIsAskedWhenTheSuccessorFails(t *testing.T) {
+// The successor does not take the lease, and the draining leader has not noticed that yet. It must ask another
+// daemon; else the lease has to time out after the leader has ended.
+func TestAnotherDaemonIsNominatedWhenSuccessorFails(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	c := start(t, s, n, "c")
 	time.Sleep(20 * time.Millisecond)
 	b := start(t, s, n, "b")
-	g.Eventually(a.cluster.Daemons, patience).Should(Equal(3))
+	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
 	b.mu.Lock()
 	b.stopping = true
 	b.mu.Unlock()
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
-	g.Eventually(leads(c), patience).Should(BeTrue())
+	g.Eventually(leads(c), eventualTimeout).Should(BeTrue())
 	g.Expect(leads(b)()).To(BeFalse())
 }
 
-// The leader dies before a daemon with a poor link and one with a good link. The good one takes the lease, though the
-// other has looked for a leader as long: on a poor link the heartbeats to all daemons fill it, and nobody hears them.
-func TestADaemonWithABetterLinkTakesTheLeaseFirst(t *testing.T) {
+// The leader terminates, and a daemon with a slow link and one with a fast link remain. The one with the fast link
+// must take the lease: heartbeats to all daemons saturate a slow link and do not arrive.
+func TestDaemonWithFasterLinkTakesLeaseFirst(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
-	poor := startPatient(t, s, n, "poor", patience)
-	good := start(t, s, n, "good")
-	g.Eventually(a.cluster.Daemons, patience).Should(Equal(3))
+	s, n, a := startLeader(t, g)
+	slowLink := startWithDelay(t, s, n, "poor", eventualTimeout)
+	fastLink := start(t, s, n, "good")
+	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
 	a.stop()
-	n.setCut("a", true)
-	g.Eventually(leads(good), patience).Should(BeTrue())
-	g.Eventually(hears(poor, "good"), patience).Should(BeTrue())
-	g.Expect(leads(poor)()).To(BeFalse())
+	n.setPartitioned("a", true)
+	g.Eventually(leads(fastLink), eventualTimeout).Should(BeTrue())
+	g.Eventually(follows(slowLink, "good"), eventualTimeout).Should(BeTrue())
+	g.Expect(leads(slowLink)()).To(BeFalse())
 }
 
-// The leader alone is cut off from the store. It still sends heartbeats, but what it knows is old and it may not order. Another
-// daemon that reads the store takes its place, and it gives way.
-func TestALeaderThatNoLongerReadsTheStoreIsReplaced(t *testing.T) {
+// Only the leader is partitioned from the store. It still sends heartbeats, but its state is stale and it may not
+// order engines. A daemon that reads the store must take the lease, and the former leader must yield.
+func TestLeaderThatNoLongerReadsStoreIsReplaced(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(b.cluster.Informed, patience).Should(BeTrue())
+	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
 	a.mu.Lock()
-	a.blind = true
+	a.readsFail = true
 	a.mu.Unlock()
-	g.Eventually(b.cluster.Informed, patience).Should(BeFalse())
+	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeFalse())
 	s.refuse("a")
-	g.Eventually(leads(b), patience).Should(BeTrue())
-	g.Eventually(leads(a), patience).Should(BeFalse())
-	g.Eventually(hears(a, "b"), patience).Should(BeTrue())
+	g.Eventually(leads(b), eventualTimeout).Should(BeTrue())
+	g.Eventually(leads(a), eventualTimeout).Should(BeFalse())
+	g.Eventually(follows(a, "b"), eventualTimeout).Should(BeTrue())
 }
 
-// A daemon becomes the leader while another of its loops, which holds the cluster's lock, asks whether it is the leader. Told
-// of the election under the election's own lock, the two waited for each other, and the daemon answered nobody any more.
-func TestWhoHearsOfAnElectionMayAskForIt(t *testing.T) {
+// Guards against a deadlock: the election called Elected under its own lock, while the cluster held its lock and
+// called Holds. The daemon then answered no more requests.
+func TestElectedCallbackMayCallHolds(t *testing.T) {
 	g := NewWithT(t)
 	held := make(chan bool, 1)
 	var election *twelection.Election
@@ -435,28 +444,28 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = election.Run(ctx) }()
-	g.Eventually(held, patience).Should(Receive(BeTrue()))
+	g.Eventually(held, eventualTimeout).Should(Receive(BeTrue()))
 }
 
-// A daemon with a poor link finds no leader at all. It leaves the others time to take the lease, and then takes it itself:
-// a poor leader is better than none.
-func TestADaemonWithAPoorLinkWaitsAndThenTakesTheLease(t *testing.T) {
+// A daemon with a slow link finds no leader. It must leave the others time to take the lease, and then take it
+// itself: a leader on a slow link is better than none.
+func TestDaemonWithSlowLinkTakesLeaseAfterDelay(t *testing.T) {
 	g := NewWithT(t)
-	s, n := newStore(), &network{clusters: make(map[string]*twcluster.Cluster), cut: make(map[string]bool)}
-	poor := startPatient(t, s, n, "poor", 2*time.Second)
-	g.Consistently(leads(poor), time.Second).Should(BeFalse())
-	g.Eventually(leads(poor), patience).Should(BeTrue())
+	s, n := newStore(), &network{clusters: make(map[string]*twcluster.Cluster), partitioned: make(map[string]bool)}
+	slowLink := startWithDelay(t, s, n, "poor", 2*time.Second)
+	g.Consistently(leads(slowLink), time.Second).Should(BeFalse())
+	g.Eventually(leads(slowLink), eventualTimeout).Should(BeTrue())
 }
 
-// The leader orders an engine to change its role and dies within a second. Whoever places calls after it, alone or as the
-// next leader, must know that the engine refuses all calls.
-func TestAllDaemonsLearnWhichEnginesChange(t *testing.T) {
+// The leader orders an engine to change role and terminates within a second. Daemons that place calls after it,
+// locally or as the next leader, must know that the engine refuses all calls.
+func TestFollowersKnowWhichEnginesChangeRole(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
-	a.away.Note("e", turmericwall.RolePrefill, time.Now().Add(time.Minute))
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
+	a.roleChanges.Note("e", turmericwall.RolePrefill, time.Now().Add(time.Minute))
 	g.Eventually(func() bool {
-		return b.away.Is(time.Now(), turmericwall.Upstream{ID: "e", Role: turmericwall.RoleDecode})
+		return b.roleChanges.Is(time.Now(), turmericwall.Upstream{ID: "e", Role: turmericwall.RoleDecode})
 	}, "1s").Should(BeTrue())
 }
--- a/internal/membership/twcluster/heartbeats.go
+++ b/internal/membership/twcluster/heartbeats.go
@@ -8,9 +8,10 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twboottime"
 )
 
-// sendHeartbeats sends one heartbeat to each daemon that has answered the one before.
+// sendHeartbeats sends one heartbeat to each daemon whose last heartbeat call has ended, and expires members that do
+// not reply.
 func (c *Cluster) sendHeartbeats(ctx context.Context, term int64) {
-	// How old the knowledge is, is taken before the knowledge itself.
+	// The ages are read before the state itself; see Self.
 	heartbeat := turmericwall.Heartbeat{
 		Leader: c.config.Self, Term: term, Daemons: c.Daemons(), LeaseVersion: c.config.LeaseVersion(),
 		StoreMillis: time.Since(c.FreshAt()).Milliseconds(), ProofMillis: c.config.Proof.AgeMillis(twboottime.Now()),
@@ -33,9 +34,9 @@
 	now := time.Now()
 	for address, m := range c.members {
 		if m.live && now.Sub(m.answeredAt) > memberTimeout {
-			c.lose(m)
+			c.markLost(m)
 		}
-		if now.Sub(m.answeredAt) > forgetSpan && now.Sub(m.knownAt) > forgetSpan {
+		if now.Sub(m.answeredAt) > memberRetention && now.Sub(m.addedAt) > memberRetention {
 			delete(c.members, address)
 			c.membersVersion++
 		}
@@ -58,8 +59,9 @@
 	}
 }
 
-// nominee is the daemon that this leader asks to take the lease: when it stops, or when it alone can't renew the lease and
-// a standby reads the store; the lock is held.
+// nominee returns the daemon that this leader asks to take the lease: when it stops, or when it alone fails to renew
+// the lease and a standby reads the store. It returns the zero Member when no daemon has to be asked; the lock is
+// held.
 func (c *Cluster) nominee() turmericwall.Member {
 	stopping := c.config.Stopping != nil && c.config.Stopping()
 	expired := c.config.LeaseExpired != nil && c.config.LeaseExpired() && time.Since(c.config.ReadAt()) > c.config.Staleness
@@ -77,16 +79,16 @@
 func (c *Cluster) sendHeartbeat(ctx context.Context, address string, heartbeat turmericwall.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	sentAt, sentMoment := time.Now(), twboottime.Now()
-	got, err := c.config.Peers.Heartbeat(ctx, address, heartbeat)
+	sentAt, sentAtBootTime := time.Now(), twboottime.Now()
+	reply, err := c.config.Peers.Heartbeat(ctx, address, heartbeat)
 	if err == nil && c.config.TakeUses != nil {
-		c.config.TakeUses(got.Incarnation, time.Duration(got.UpMillis)*time.Millisecond, got.Uses)
+		c.config.TakeUses(reply.Incarnation, time.Duration(reply.UpMillis)*time.Millisecond, reply.Uses)
 	}
 	if err == nil && c.config.TakeRates != nil {
-		c.config.TakeRates(got.Rates)
+		c.config.TakeRates(reply.Rates)
 	}
 	if err == nil && c.config.TakeLeaving != nil {
-		c.config.TakeLeaving(got.Leaving)
+		c.config.TakeLeaving(reply.Leaving)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,53 +100,54 @@
 	if err != nil {
 		return
 	}
-	c.answered(m, got)
-	if got.PlanVersion <= c.config.PlanVersion() {
-		c.config.Proof.ConfirmAged(sentMoment, got.ProofMillis)
+	c.recordReply(m, reply)
+	if reply.PlanVersion <= c.config.PlanVersion() {
+		c.config.Proof.ConfirmAged(sentAtBootTime, reply.ProofMillis)
 	}
-	c.catchUp(sentAt, got)
+	c.syncFromReply(sentAt, reply)
 }
 
-// answered notes a reply to a heartbeat; the lock is held.
-func (c *Cluster) answered(m *member, got turmericwall.HeartbeatReply) {
-	if m.Incarnation != "" && m.Incarnation != got.Incarnation && m.live {
-		c.lose(m)
+// recordReply records a reply to a heartbeat; the lock is held.
+func (c *Cluster) recordReply(m *member, reply turmericwall.HeartbeatReply) {
+	if m.Incarnation != "" && m.Incarnation != reply.Incarnation && m.live {
+		c.markLost(m)
 	}
 	if !m.live {
-		c.config.Recorder.Record(turmericwall.EventPeerLive).Str("peer", got.Name).Str("incarnation", got.Incarnation).Send()
+		c.config.Recorder.Record(turmericwall.EventPeerLive).
+			Str("peer", reply.Name).Str("incarnation", reply.Incarnation).Send()
 	}
-	if m.Incarnation != got.Incarnation {
+	if m.Incarnation != reply.Incarnation {
 		m.nominations = 0
-		m.startedAt = time.Now().Add(-time.Duration(got.UpMillis) * time.Millisecond)
+		m.startedAt = time.Now().Add(-time.Duration(reply.UpMillis) * time.Millisecond)
 	}
-	m.HeartbeatReply = got
+	m.HeartbeatReply = reply
 	m.live = true
 	m.answeredAt = time.Now()
 }
 
-// catchUp learns from a daemon that has read the store later than this leader, which may be cut off from it; the lock is
-// held.
-func (c *Cluster) catchUp(sentAt time.Time, got turmericwall.HeartbeatReply) {
-	if got.ReadMillis < 0 {
+// syncFromReply obtains newer state from a daemon that has read the store later than this leader, which may be
+// partitioned from the store; the lock is held.
+func (c *Cluster) syncFromReply(sentAt time.Time, reply turmericwall.HeartbeatReply) {
+	if reply.ReadMillis < 0 {
 		return
 	}
-	at := sentAt.Add(-time.Duration(got.ReadMillis) * time.Millisecond)
+	at := sentAt.Add(-time.Duration(reply.ReadMillis) * time.Millisecond)
 	own := c.config.ReadAt()
-	if c.learnedAt.After(own) {
-		own = c.learnedAt
+	if c.peerFreshAt.After(own) {
+		own = c.peerFreshAt
 	}
 	if at.Sub(own) < c.config.Staleness/4 {
 		return
 	}
-	if got.PlanVersion > c.config.PlanVersion() || got.UpstreamsPosition > c.config.UpstreamsPosition() {
-		c.fetchFrom(got.Member)
+	if reply.PlanVersion > c.config.PlanVersion() || reply.UpstreamsPosition > c.config.UpstreamsPosition() {
+		c.requestFetch(reply.Member)
 		return
 	}
-	c.learned(at)
+	c.recordPeerFreshAt(at)
 }
 
-// lose notes that an incarnation no longer answers; the lock is held.
-func (c *Cluster) lose(m *member) {
+// markLost records that an incarnation no longer replies; the lock is held.
+func (c *Cluster) markLost(m *member) {
 	m.live = false
 	c.config.Recorder.Record(turmericwall.EventPeerLost).Str("peer", m.Name).Str("incarnation", m.Incarnation).
 		Int("silentMillis", time.Since(m.answeredAt).Milliseconds()).Send()
--- a/internal/membership/twcluster/members.go
+++ b/internal/membership/twcluster/members.go
@@ -7,34 +7,35 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// member is another daemon as the leader knows it.
+// member is another daemon as the leader knows it, with its last reply.
 type member struct {
 	turmericwall.HeartbeatReply
-	// knownAt is when its address became known.
-	knownAt    time.Time
+	// addedAt is when its address was added.
+	addedAt    time.Time
 	answeredAt time.Time
 	// startedAt is when its incarnation started.
 	startedAt time.Time
 	// chosenAt is when it last became a standby.
 	chosenAt time.Time
-	// nominations counts how often it was asked to take the lease.
+	// nominations is how many heartbeats asked it to take the lease.
 	nominations int
 	live        bool
-	// pending tells that its last heartbeat is not answered yet.
+	// pending is set while a heartbeat call to it is under way.
 	pending bool
 }
 
-// Join takes another daemon's address, so that it gets heartbeats while this daemon is the leader.
+// Join adds another daemon's address, so that it gets heartbeats while this daemon is the leader. A new address gets
+// one at once.
 func (c *Cluster) Join(other turmericwall.Member) {
 	c.mu.Lock()
 	known := c.add(other.Address)
 	c.mu.Unlock()
 	if !known {
-		wake(c.sendNow)
+		signal(c.sendNow)
 	}
 }
 
-// AddMembers takes the addresses that another daemon knows, as of a version of its list.
+// AddMembers adds the addresses of another daemon's list of members, as of a version of that list.
 func (c *Cluster) AddMembers(version int64, addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,14 +45,14 @@
 	}
 }
 
-// Members are the addresses of all daemons that this one knows, and the version of that list.
+// Members returns the addresses of all daemons that this one knows, itself included, and the version of that list.
 func (c *Cluster) Members() (version int64, addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.membersVersion, append(c.addresses(), c.config.Self.Address)
 }
 
-// add tells whether the address was known; the lock is held.
+// add adds an address and reports whether it was known already; the lock is held.
 func (c *Cluster) add(address string) (known bool) {
 	if address == "" || address == c.config.Self.Address {
 		return true
@@ -60,12 +61,12 @@
 		return true
 	}
 	now := time.Now()
-	c.members[address] = &member{knownAt: now, answeredAt: now}
+	c.members[address] = &member{addedAt: now, answeredAt: now}
 	c.membersVersion++
 	return false
 }
 
-// addresses are those of all other members, in order; the lock is held.
+// addresses returns the addresses of all other members in ascending order; the lock is held.
 func (c *Cluster) addresses() []string {
 	list := make([]string, 0, len(c.members))
 	for address := range c.members {
@@ -75,8 +76,9 @@
 	return list
 }
 
-// rest forgets who is live while another daemon is the leader.
-func (c *Cluster) rest() {
+// resetLiveness discards which members are live and which are standbys while another daemon is the leader. Their
+// timeouts start anew, so that none is reported as lost when this daemon becomes the leader.
+func (c *Cluster) resetLiveness() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/internal/membership/twcluster/proof_test.go
+++ b/internal/membership/twcluster/proof_test.go
@@ -16,34 +16,35 @@
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
 )
 
-func TestTheLeadersProofReachesItsFollowers(t *testing.T) {
+func TestLeadersProofReachesFollowers(t *testing.T) {
 	g := NewWithT(t)
-	s, n, leader := withLeader(t, g)
+	s, n, leader := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 	g.Consistently(func() int64 { return b.proof.AgeMillis(twboottime.Now()) }, "400ms").Should(BeEquivalentTo(-1))
 	readAt := twboottime.Now()
 	leader.proof.Confirm(readAt)
 	g.Eventually(func() int64 { return b.proof.AgeMillis(twboottime.Now()) }, "3s").Should(BeNumerically(">=", 0))
-	g.Consistently(func() bool { return b.proof.Covers(readAt + 1) }, "600ms").Should(BeFalse(), "a proof never grows newer on its way")
+	g.Consistently(func() bool { return b.proof.Covers(readAt + 1) }, "600ms").Should(BeFalse(), "a proof must not get newer in transit")
 }
 
-// Guards against a leader that is cut off from the store and lets keys lapse although a standby reads it.
-func TestALeaderTakesTheProofOfADaemonThatReads(t *testing.T) {
+// Guards against a leader that is partitioned from the store and lets its proof expire although a standby reads the
+// store.
+func TestLeaderAppliesProofOfStandby(t *testing.T) {
 	g := NewWithT(t)
-	s, n, leader := withLeader(t, g)
+	s, n, leader := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 	b.proof.Confirm(twboottime.Now())
 	g.Eventually(func() int64 { return leader.proof.AgeMillis(twboottime.Now()) }, "3s").Should(BeNumerically(">=", 0))
 }
 
-// Guards against a daemon that lacks the newest plan and takes the leader's proof for its own older one.
-func TestAProofOfANewerPlanIsNotTaken(t *testing.T) {
+// Guards against a daemon without the newest plan that applies the leader's proof to its own older plan.
+func TestProofOfNewerPlanIsIgnored(t *testing.T) {
 	g := NewWithT(t)
-	s, n, _ := withLeader(t, g)
+	s, n, _ := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(hears(b, "a"), patience).Should(BeTrue())
+	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 	heartbeat := turmericwall.Heartbeat{
 		Leader: turmericwall.Member{Name: "z", Address: "z", Incarnation: "z1"}, Term: 99, ProofMillis: 0,
 		Echo: turmericwall.Echo{Incarnation: "b1", Moment: int64(twboottime.Now())},
@@ -56,12 +57,13 @@
 	g.Expect(b.proof.AgeMillis(twboottime.Now())).To(BeNumerically("<", time.Second.Milliseconds()))
 }
 
-// Guards against a read of the store that ends between two looks and vouches for the plan from before it.
-func TestTheAgeOfAProofIsTakenBeforeThePlan(t *testing.T) {
+// Guards against a read of the store that ends between taking the plan and the proof's age, and so confirms the plan
+// from before it.
+func TestProofAgeIsTakenBeforePlan(t *testing.T) {
 	g := NewWithT(t)
 	sent := make(chan turmericwall.Heartbeat, 1)
 	none := func() int64 { return 0 }
-	reading := func() *twcluster.Cluster {
+	newReadingCluster := func() *twcluster.Cluster {
 		proof := twproof.New(twproof.Config{Incarnation: "a1"})
 		return twcluster.New(twcluster.Config{
 			Self: turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"}, Proof: proof, Peers: recording{sent: sent},
@@ -73,10 +75,10 @@
 			},
 		})
 	}
-	g.Expect(reading().Self().ProofMillis).To(BeEquivalentTo(-1), "the read ended after the age was taken")
+	g.Expect(newReadingCluster().Self().ProofMillis).To(BeEquivalentTo(-1), "the read ended after the age was taken")
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	leader := reading()
+	leader := newReadingCluster()
 	go func() { ended <- leader.Run(ctx) }()
 	defer func() { stop(); <-ended }()
 	leader.Join(turmericwall.Member{Address: "b"})
@@ -85,7 +87,7 @@
 	g.Expect(first.ProofMillis).To(BeEquivalentTo(-1))
 }
 
-// recording hands on the heartbeats that are sent and answers none.
+// recording is a peer client that passes on the heartbeats that are sent and fails every call.
 type recording struct {
 	turmericwall.PeerClient
 	sent chan turmericwall.Heartbeat
@@ -96,5 +98,5 @@
 	case r.sent <- heartbeat:
 	default:
 	}
-	return turmericwall.HeartbeatReply{}, errors.New("no answer")
+	return turmericwall.HeartbeatReply{}, errors.New("no reply")
 }
--- a/internal/membership/twcluster/standbys.go
+++ b/internal/membership/twcluster/standbys.go
@@ -8,72 +8,75 @@
 )
 
 const (
-	// maxStandbys is how many daemons read the store when the leader can't.
+	// maxStandbys is how many daemons read the store when the leader cannot.
 	maxStandbys = 2
-	// provingSpan is how long a standby has to get an answer from the store once the leader gets none.
-	provingSpan = 600 * time.Millisecond
+	// probationSpan is how long a standby has to get an answer from the store once the leader gets none.
+	probationSpan = 600 * time.Millisecond
 )
 
-// chooseStandbys keeps the standbys that still serve and fills up with the best other members; the lock is held.
+// chooseStandbys keeps the standbys that are still available and adds the best other members; the lock is held.
 //
-// While the leader gets no answer from the store, a standby that gets none either yields to a member that was not tried
-// for longest: the store may turn some daemons away and serve others.
+// While the leader gets no answer from the store, a standby that gets none either is replaced by the member that was
+// not a standby for the longest time: the store may refuse some daemons and serve others.
 func (c *Cluster) chooseStandbys(now time.Time) {
 	stale := now.Sub(c.config.ReadAt()) > c.config.Staleness
 	var kept []turmericwall.Member
 	chosen := make(map[string]bool, maxStandbys)
 	zones := map[string]bool{c.config.Zone: true}
-	take := func(m *member) {
+	keep := func(m *member) {
 		kept = append(kept, m.Member)
 		chosen[m.Address] = true
 		zones[m.Zone] = true
 	}
 	for _, s := range c.standbys {
 		m, ok := c.members[s.Address]
-		if !ok || !m.serves() || m.Incarnation != s.Incarnation {
+		if !ok || !m.isAvailable() || m.Incarnation != s.Incarnation {
 			continue
 		}
-		if stale && !m.fresh(c.config.Staleness) && now.Sub(m.chosenAt) > provingSpan {
+		if stale && !m.isFresh(c.config.Staleness) && now.Sub(m.chosenAt) > probationSpan {
 			continue
 		}
-		if !stale && c.best(func(o *member) bool { return !c.isChosen(o) && o.LinkMegabits > m.LinkMegabits }, nil, false) != nil {
+		if !stale && c.bestMember(func(o *member) bool {
+			return !c.isChosenStandby(o) && o.LinkMegabits > m.LinkMegabits
+		}, nil, false) != nil {
 			continue
 		}
-		take(m)
+		keep(m)
 	}
 	for len(kept) < maxStandbys {
-		next := c.best(func(m *member) bool { return !chosen[m.Address] }, zones, stale)
+		next := c.bestMember(func(m *member) bool { return !chosen[m.Address] }, zones, stale)
 		if next == nil {
 			break
 		}
 		next.chosenAt = now
-		take(next)
+		keep(next)
 	}
 	c.standbys = kept
 }
 
-// isChosen tells that the member is a standby; the lock is held.
-func (c *Cluster) isChosen(m *member) bool {
+// isChosenStandby reports whether the member is a standby; the lock is held.
+func (c *Cluster) isChosenStandby(m *member) bool {
 	return slices.ContainsFunc(c.standbys, func(s turmericwall.Member) bool { return s.Address == m.Address })
 }
 
-// best is the best member that serves and may be taken; the lock is held.
-func (c *Cluster) best(may func(*member) bool, zones map[string]bool, stale bool) *member {
+// bestMember returns the best member that is available and eligible, or nil; the lock is held.
+func (c *Cluster) bestMember(eligible func(*member) bool, zones map[string]bool, stale bool) *member {
 	var best *member
 	for _, address := range c.addresses() {
 		m := c.members[address]
-		if m.serves() && may(m) && (best == nil || c.before(m, best, zones, stale)) {
+		if m.isAvailable() && eligible(m) && (best == nil || c.isBetter(m, best, zones, stale)) {
 			best = m
 		}
 	}
 	return best
 }
 
-// before tells that m is the better standby and successor: one that reads the store, then, while the leader is stale, the
-// one that was not tried for longest, then the better link, since the leader talks to all, then one in a zone that is not
-// in use yet, then the one that started last, since daemons that are restarted in turn stay the longest after it.
-func (c *Cluster) before(m, other *member, zones map[string]bool, stale bool) bool {
-	if fresh := m.fresh(c.config.Staleness); fresh != other.fresh(c.config.Staleness) {
+// isBetter reports whether m is the better standby and successor; the lock is held. It compares, in this order:
+// whether the member reads the store; while the leader is stale, which one was not a standby for longer; the rate of
+// the link, since the leader sends to all daemons; whether its data centre has no standby yet; and which one started
+// last, since daemons that are restarted in turn keep it the longest.
+func (c *Cluster) isBetter(m, other *member, zones map[string]bool, stale bool) bool {
+	if fresh := m.isFresh(c.config.Staleness); fresh != other.isFresh(c.config.Staleness) {
 		return fresh
 	}
 	if stale && m.chosenAt != other.chosenAt {
@@ -88,22 +91,23 @@
 	return m.startedAt.After(other.startedAt)
 }
 
-// successor is the member that should take the lease: a standby, or the best member when there is none; the lock is held.
+// successor returns the member that should take the lease: a standby, or the best member when there is none; nil if
+// no member is eligible. The lock is held.
 func (c *Cluster) successor(freshOnly bool) *member {
-	may := func(m *member) bool {
-		return m.nominations < maxNominations && (!freshOnly || m.fresh(c.config.Staleness))
+	eligible := func(m *member) bool {
+		return m.nominations < maxNominations && (!freshOnly || m.isFresh(c.config.Staleness))
 	}
-	next := c.best(func(m *member) bool { return c.isChosen(m) && may(m) }, nil, false)
+	next := c.bestMember(func(m *member) bool { return c.isChosenStandby(m) && eligible(m) }, nil, false)
 	if next == nil {
-		next = c.best(may, nil, false)
+		next = c.bestMember(eligible, nil, false)
 	}
 	return next
 }
 
-// isStandby tells that the live leader has chosen this daemon; the lock is held.
+// isStandby reports whether the last leader chose this daemon as a standby; the lock is held.
 func (c *Cluster) isStandby() bool { return c.rank() >= 0 }
 
-// rank is this daemon's place among the leader's standbys, or -1; the lock is held.
+// rank returns this daemon's position among the leader's standbys, or -1; the lock is held.
 func (c *Cluster) rank() int {
 	for i, s := range c.heartbeat.Standbys {
 		if s == c.config.Self {
@@ -113,14 +117,14 @@
 	return -1
 }
 
-// StandbyRank is this daemon's place among the standbys of the last leader heard, or -1 when it is none.
+// StandbyRank returns this daemon's position among the standbys in the last heartbeat, or -1 when it is none.
 func (c *Cluster) StandbyRank() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rank()
 }
 
-// Standbys are those of the last leader heard, without this daemon.
+// Standbys returns the standbys in the last heartbeat without this daemon.
 func (c *Cluster) Standbys() []turmericwall.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,9 +137,10 @@
 	return list
 }
 
-func (m *member) serves() bool { return m.live && !m.Stopping && m.Incarnation != "" }
+// isAvailable reports whether the member replies and is not stopping.
+func (m *member) isAvailable() bool { return m.live && !m.Stopping && m.Incarnation != "" }
 
-// fresh tells that the member reads the store and got an answer lately.
-func (m *member) fresh(staleness time.Duration) bool {
+// isFresh reports whether the member itself reads the store and sent its last answered read within staleness.
+func (m *member) isFresh(staleness time.Duration) bool {
 	return m.ReadMillis >= 0 && time.Duration(m.ReadMillis)*time.Millisecond < staleness
 }
--- a/internal/membership/twcluster/standbys_test.go
+++ b/internal/membership/twcluster/standbys_test.go
@@ -16,38 +16,40 @@
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
 )
 
-// cutOff takes this daemon's way to the store.
-func (d *daemon) cutOff() {
+// disconnectStore disconnects this daemon from the store.
+func (d *daemon) disconnectStore() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cutAt = time.Now()
+	d.storeLostAt = time.Now()
 }
 
-func (d *daemon) setReluctant() {
+// setReadsOnlyInRole makes this daemon read the store only as the leader or a standby.
+func (d *daemon) setReadsOnlyInRole() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reluctant = true
+	d.readsOnlyInRole = true
 }
 
-// The store turns the leader, its standbys and half of all others away; daemons are informed again only by luck.
-func TestAllAreInformedWhileHalfAreCutOffFromTheStore(t *testing.T) {
+// The store refuses the leader, its standbys and about half of the other daemons. The leader must find standbys that
+// the store serves; else all daemons become stale.
+func TestFollowersStayInformedWhileHalfAreCutOffFromStore(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			random := rand.New(rand.NewPCG(seed, 5))
-			s, n, a := withLeader(t, g)
+			s, n, a := startLeader(t, g)
 			var others []*daemon
 			for i := range 20 {
 				d := start(t, s, n, fmt.Sprint("d", i))
-				d.setReluctant()
+				d.setReadsOnlyInRole()
 				others = append(others, d)
 			}
-			g.Eventually(a.cluster.Daemons, patience).Should(Equal(21))
-			a.cutOff()
+			g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(21))
+			a.disconnectStore()
 			for _, d := range others {
 				if d.cluster.StandbyRank() >= 0 || random.IntN(2) == 0 {
-					d.cutOff()
+					d.disconnectStore()
 				}
 			}
 			informed := func() int {
@@ -59,13 +61,14 @@
 				}
 				return count
 			}
-			g.Eventually(informed, "5s").Should(BeNumerically("<", 20), "the cut must be felt")
+			g.Eventually(informed, "5s").Should(BeNumerically("<", 20), "the partition must have an effect first")
 			g.Eventually(informed, "5s").Should(Equal(20))
 			g.Consistently(informed, "3s").Should(Equal(20))
 		})
 	}
 }
 
+// standbys returns a query for the names of the standbys that d knows.
 func standbys(d *daemon) func() []string {
 	return func() []string {
 		var names []string
@@ -76,64 +79,68 @@
 	}
 }
 
-// The leader alone is cut off from the store; all its followers find their knowledge too old and read for themselves.
-func TestALeaderThatIsCutOffFromTheStoreLearnsFromAStandby(t *testing.T) {
+// Only the leader is partitioned from the store. It must obtain the state from a standby; else all its followers
+// become stale and read the store themselves.
+func TestLeaderWithoutStoreSyncsFromStandby(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b, c := start(t, s, n, "b"), start(t, s, n, "c")
-	g.Eventually(b.cluster.Informed, patience).Should(BeTrue())
-	g.Eventually(c.cluster.Informed, patience).Should(BeTrue())
-	a.cutOff()
+	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
+	g.Eventually(c.cluster.Informed, eventualTimeout).Should(BeTrue())
+	a.disconnectStore()
 	g.Consistently(c.cluster.Informed, "2s").Should(BeTrue())
 }
 
-// The leader can't renew its lease for long while others could; no engine gets an order meanwhile.
-func TestALeaderThatCannotRenewHandsOverToAStandby(t *testing.T) {
+// The leader cannot renew its lease while other daemons could. It must hand over; else no engine gets an order.
+func TestLeaderThatCannotRenewHandsOverToStandby(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(b.cluster.Informed, patience).Should(BeTrue())
-	a.cutOff()
+	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
+	a.disconnectStore()
 	s.refuse("a")
-	g.Eventually(leads(b), 2*patience).Should(BeTrue())
-	g.Eventually(hears(a, "b"), patience).Should(BeTrue())
+	g.Eventually(leads(b), 2*eventualTimeout).Should(BeTrue())
+	g.Eventually(follows(a, "b"), eventualTimeout).Should(BeTrue())
 }
 
-// The store turns the leader and its standbys away and serves others; nobody tries, and a change is learned too late.
-func TestStandbysThatTheStoreTurnsAwayAreReplaced(t *testing.T) {
+// The store refuses the leader and its standbys and serves other daemons. The leader must try others as standbys;
+// else changes reach the daemons too late.
+func TestStandbysRefusedByStoreAreReplaced(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	daemons := make(map[string]*daemon)
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
 		daemons[name] = start(t, s, n, name)
-		daemons[name].setReluctant()
+		daemons[name].setReadsOnlyInRole()
 	}
-	g.Eventually(standbys(daemons["f"]), patience).ShouldNot(BeEmpty())
-	g.Eventually(a.cluster.Daemons, patience).Should(Equal(6))
+	g.Eventually(standbys(daemons["f"]), eventualTimeout).ShouldNot(BeEmpty())
+	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(6))
 	for name, d := range daemons {
 		if name != "d" {
-			d.cutOff()
+			d.disconnectStore()
 		}
 	}
-	a.cutOff()
+	a.disconnectStore()
 	g.Eventually(func() bool { return slices.Contains(standbys(daemons["b"])(), "d") }, "4s").Should(BeTrue())
 	g.Eventually(daemons["b"].cluster.Informed, "1s").Should(BeTrue())
 }
 
-// A leader that has just taken the lease knows no daemon, and all place calls alone until each has asked for it.
-func TestAStandbyKnowsAllMembers(t *testing.T) {
+// A standby must have the list of members before it takes the lease; else all daemons place calls locally until each
+// has joined the new leader.
+func TestStandbyKnowsAllMembers(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(b.cluster.Informed, patience).Should(BeTrue())
+	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
 	a.cluster.Join(turmericwall.Member{Address: "late"})
 	g.Eventually(func() []string { _, list := b.cluster.Members(); return list }, "2s").Should(ConsistOf("a", "b", "late"))
 }
 
-// A daemon that stops is the standby until it is gone, and nobody takes the lease when the leader ends meanwhile.
-func TestAStoppingDaemonIsNoStandby(t *testing.T) {
+// A draining daemon must be replaced as a standby before it terminates; else no daemon takes the lease when the
+// leader ends meanwhile.
+func TestDrainingDaemonIsNotStandby(t *testing.T) {
 	g := NewWithT(t)
-	s, n, _ := withLeader(t, g)
+	s, n, _ := startLeader(t, g)
 	b, c, e := start(t, s, n, "b"), start(t, s, n, "c"), start(t, s, n, "e")
 	chosen := func() int {
 		count := 0
@@ -144,21 +151,22 @@
 		}
 		return count
 	}
-	g.Eventually(chosen, patience).Should(Equal(2))
+	g.Eventually(chosen, eventualTimeout).Should(Equal(2))
 	b.mu.Lock()
 	b.stopping = true
 	b.mu.Unlock()
-	g.Eventually(b.cluster.StandbyRank, patience).Should(Equal(-1))
-	g.Eventually(chosen, patience).Should(Equal(2))
+	g.Eventually(b.cluster.StandbyRank, eventualTimeout).Should(Equal(-1))
+	g.Eventually(chosen, eventualTimeout).Should(Equal(2))
 }
 
-// All daemons lost power; the restarted leader is no reader, and everybody waits for its old lease to fall silent.
-func TestARestartedLeaderTakesItsLeaseOnAPeersWord(t *testing.T) {
+// All daemons restarted at once. The restarted leader does not read the store, and must take its former lease when a
+// peer reports it; else all daemons wait until that lease times out.
+func TestRestartedLeaderTakesItsLeaseWhenPeerReportsIt(t *testing.T) {
 	g := NewWithT(t)
-	s, n, a := withLeader(t, g)
+	s, n, a := startLeader(t, g)
 	version := a.election.Version()
 	a.stop()
-	n.setCut("a", true)
+	n.setPartitioned("a", true)
 	election := twelection.New(twelection.Config{
 		Store: s, Self: turmericwall.Member{Name: "a", Address: "a", Incarnation: "a2"}, Apart: time.Second,
 		Recorder:    tweventlog.New(tweventlog.Config{Output: io.Discard}),
@@ -170,7 +178,7 @@
 	go func() { ended <- election.Run(ctx) }()
 	defer func() { stop(); <-ended }()
 	election.Restarted(version, turmericwall.Member{Name: "b", Address: "b", Incarnation: "b1"})
-	g.Consistently(func() bool { _, ok := election.Holds(); return ok }, "300ms").Should(BeFalse(), "it is another's lease")
+	g.Consistently(func() bool { _, ok := election.Holds(); return ok }, "300ms").Should(BeFalse(), "another daemon holds the lease")
 	election.Restarted(version, turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"})
 	g.Eventually(func() bool { _, ok := election.Holds(); return ok }, "1s").Should(BeTrue())
 }
