--- a/internal/membership/twelection/election.go
+++ b/internal/membership/twelection/election.go
@@ -1,4 +1,6 @@
-// Package twelection keeps or seeks the leader's lease in the store.
+// Package twelection elects the leader: it takes, renews and releases the leader's lease, a row in the store. The
+// rules of the lease are in package twlease; this package reads and writes the row. It stands beside a request's way:
+// the leader that it elects places calls and orders engines.
 package twelection
 
 import (
@@ -12,92 +14,95 @@
 )
 
 const (
-	// table and key name the lease's row.
+	// table and key identify the lease's row in the store.
 	table = "leader"
 	key   = "lease"
-	// lookEvery is the pause between two looks at the row while no leader is heard.
-	lookEvery = 400 * time.Millisecond
-	// stepEvery is the pause between two looks at the clock.
-	stepEvery = 100 * time.Millisecond
+	// pollInterval is the time between two reads of the row while no leader is live.
+	pollInterval = 400 * time.Millisecond
+	// tickInterval is the time between two checks of what is due.
+	tickInterval = 100 * time.Millisecond
 )
 
-// Store is what the election reads and writes.
+// Store is the part of the store that an election reads and writes.
 type Store interface {
 	turmericwall.Feed
 	turmericwall.RowWriter
 }
 
-// Config says what the election works with.
+// Config holds the settings, state providers and callbacks of an election.
 type Config struct {
 	Store    Store
 	Self     turmericwall.Member
 	Recorder turmericwall.Recorder
-	// Apart is the least time between the orders of two holders.
+	// Apart is the least time between the last order of one holder and the first order of the next.
 	Apart time.Duration
-	// Patience is how long no leader must be heard before this daemon seeks the lease.
+	// Patience is how long there must be no live leader before this daemon seeks the lease.
 	Patience func() time.Duration
-	// Seeks tells that this daemon is a candidate; nil tells that it always is.
+	// Seeks reports whether this daemon is a candidate; nil means always.
 	Seeks func() bool
-	// LeaderHeard tells that another daemon lately said that it is the leader.
+	// LeaderHeard reports whether another daemon is the live leader.
 	LeaderHeard func() bool
-	// Ready tells that this daemon knows enough to be the leader.
+	// Ready reports whether this daemon can be the leader. A leader that is not ready releases the lease.
 	Ready func() bool
-	// Elected is called when this daemon becomes the leader; it may be nil.
+	// Elected is called without a lock when this daemon becomes the leader; it may be nil.
 	Elected func()
 }
 
-// Election runs one daemon's part in the choice of the leader.
+// Election runs one daemon's part in the election. Its methods are safe for concurrent use.
 type Election struct {
 	config Config
 	mu     sync.Mutex
 	lease  *twlease.Lease
-	// released tells that this daemon gave the lease up.
-	released  bool
-	nominated chan struct{}
+	// released is set once this daemon has released the lease.
+	released    bool
+	nominations chan struct{}
 }
 
-// New returns an election that has begun nothing.
+// New returns an election that has not read the lease yet.
 func New(config Config) *Election {
-	return &Election{config: config, lease: twlease.New(twlease.Config{Self: config.Self, Apart: config.Apart}), nominated: make(chan struct{}, 1)}
+	return &Election{
+		config: config, lease: twlease.New(twlease.Config{Self: config.Self, Apart: config.Apart}),
+		nominations: make(chan struct{}, 1),
+	}
 }
 
-// Holds tells that this daemon is the leader, and the number of its term.
+// Holds reports whether this daemon is the leader, and returns the number of its term.
 func (e *Election) Holds() (term int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lease.Term(), e.lease.Holds()
 }
 
-// Fence returns the fencing number for an order sent now.
+// Fence returns the fencing token for an order that is sent now, and whether this daemon may order engines.
 func (e *Election) Fence() (int64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lease.Fence(twboottime.Now())
 }
 
-// Expired tells that this daemon leads but could not renew the lease within its term.
+// Expired reports whether this daemon leads but failed to renew the lease within its term.
 func (e *Election) Expired() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lease.Expired(twboottime.Now())
 }
 
-// Holder is who holds the lease as last seen.
+// Holder returns the daemon that holds the lease as last seen.
 func (e *Election) Holder() turmericwall.Member {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lease.Holder()
 }
 
-// Told takes the version of the lease's row that its holder tells of.
+// Told records the version of the lease's row that its holder sent.
 func (e *Election) Told(version int64, holder turmericwall.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lease.Told(twboottime.Now(), version, holder)
 }
 
-// Restarted takes the lease's row as a peer saw it. A row that names an earlier incarnation of this daemon is taken at
-// once: nobody else may before it has been silent.
+// Restarted applies the lease's row as a peer saw it. If the row names an earlier incarnation of this daemon, this
+// daemon takes the lease at once: any other daemon has to wait until the row has not changed for some time.
 func (e *Election) Restarted(version int64, holder turmericwall.Member) {
 	if holder.Name != e.config.Self.Name || holder == e.config.Self {
 		return
@@ -106,40 +111,40 @@
 	e.Nominate()
 }
 
-// Version is the version of the lease's row as last seen.
+// Version returns the version of the lease's row as last seen.
 func (e *Election) Version() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lease.Version()
 }
 
-// Yield ends this daemon's part as leader, because another one has a later term.
+// Yield ends this daemon's leadership, because another daemon has a later term.
 func (e *Election) Yield() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lease.Lost()
 }
 
-// Nominate has this daemon take the lease, because its holder stops.
+// Nominate makes this daemon take the lease now, because the holder hands it over.
 func (e *Election) Nominate() {
 	select {
-	case e.nominated <- struct{}{}:
+	case e.nominations <- struct{}{}:
 	default:
 	}
 }
 
-// Run keeps or seeks the lease until ctx ends.
+// Run takes and renews the lease until ctx ends.
 func (e *Election) Run(ctx context.Context) error {
-	tick := time.NewTicker(stepEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	var nextAt twboottime.Moment
-	heardAt := twboottime.Now()
+	leaderSeenAt := twboottime.Now()
 	for {
 		nominated := false
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-e.nominated:
+		case <-e.nominations:
 			nominated = true
 		case <-tick.C:
 		}
@@ -154,27 +159,28 @@
 		}
 		if holds {
 			nextAt = now.Add(twlease.RenewEvery)
-			e.write(ctx)
+			e.writeRow(ctx)
 			continue
 		}
 		if e.config.LeaderHeard() && !nominated {
-			heardAt = now
+			leaderSeenAt = now
 			continue
 		}
 		if e.config.Seeks != nil && !e.config.Seeks() && !nominated {
 			continue
 		}
-		if (now.Sub(heardAt) < e.config.Patience() && !nominated) || !e.config.Ready() {
+		if (now.Sub(leaderSeenAt) < e.config.Patience() && !nominated) || !e.config.Ready() {
 			continue
 		}
-		nextAt = now.Add(lookEvery)
-		if e.look(ctx) {
-			e.write(ctx)
+		nextAt = now.Add(pollInterval)
+		if e.readRow(ctx) {
+			e.writeRow(ctx)
 		}
 	}
 }
 
-// release gives the lease up once, because this daemon stops.
+// release releases the lease once, because this daemon stops. A failed write is logged and not repeated: the lease
+// then times out.
 func (e *Election) release(ctx context.Context) {
 	e.mu.Lock()
 	intent, ok := e.lease.Release()
@@ -186,11 +192,12 @@
 		return
 	}
 	_, _, _, err := e.config.Store.Swap(ctx, table, key, intent.IfVersion, intent.Value)
-	e.config.Recorder.Record(turmericwall.EventLeaderChanged).Str("leader", "").Int("version", intent.IfVersion).Err(err).Send()
+	e.config.Recorder.Record(turmericwall.EventLeaderChanged).
+		Str("leader", "").Int("version", intent.IfVersion).Err(err).Send()
 }
 
-// look reads the row.
-func (e *Election) look(ctx context.Context) bool {
+// readRow reads the row and reports whether the store answered.
+func (e *Election) readRow(ctx context.Context) bool {
 	snapshot, err := e.config.Store.Rows(ctx, table)
 	if err != nil {
 		e.config.Recorder.Record(turmericwall.EventLeaseUnreadable).Err(err).Send()
@@ -208,12 +215,12 @@
 	return true
 }
 
-// write takes or renews the lease when that is due.
-func (e *Election) write(ctx context.Context) {
+// writeRow takes or renews the lease if that is due.
+func (e *Election) writeRow(ctx context.Context) {
 	sentAt := twboottime.Now()
 	e.mu.Lock()
 	intent, due := e.lease.Next(sentAt)
-	held := e.lease.Holds()
+	heldBefore := e.lease.Holds()
 	e.mu.Unlock()
 	if !due {
 		return
@@ -231,12 +238,12 @@
 	}
 	holder, term, holds := e.lease.Holder(), e.lease.Term(), e.lease.Holds()
 	e.mu.Unlock()
-	if holds == held {
+	if holds == heldBefore {
 		return
 	}
 	e.config.Recorder.Record(turmericwall.EventLeaderChanged).Str("leader", holder.Name).
 		Int("term", term).Int("version", version).Send()
-	// Called without the lock: who hears it asks back whether this daemon holds the lease.
+	// Called without the lock, because the callback may call Holds.
 	if holds && e.config.Elected != nil {
 		e.config.Elected()
 	}
