--- a/internal/membership/twelection/election.go
+++ b/internal/membership/twelection/election.go
@@ -61,7 +61,7 @@
 // New returns an election that has not read the lease yet.
 func New(config Config) *Election {
 	return &Election{
-		config: config, lease: twlease.New(twlease.Config{Self: config.Self, Apart: config.Apart}),
+		config: config, lease: twlease.New(twlease.Config{Self: config.Self, OrderGap: config.Apart}),
 		nominations: make(chan struct{}, 1),
 	}
 }
@@ -98,7 +98,7 @@
 func (e *Election) Told(version int64, holder turmericwall.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lease.Told(twboottime.Now(), version, holder)
+	e.lease.RecordVersion(twboottime.Now(), version, holder)
 }
 
 // Restarted applies the lease's row as a peer saw it. If the row names an earlier incarnation of this daemon, this
@@ -122,7 +122,7 @@
 func (e *Election) Yield() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lease.Lost()
+	e.lease.Yield()
 }
 
 // Nominate makes this daemon take the lease now, because the holder hands it over.
@@ -158,7 +158,7 @@
 			continue
 		}
 		if holds {
-			nextAt = now.Add(twlease.RenewEvery)
+			nextAt = now.Add(twlease.RenewInterval)
 			e.writeRow(ctx)
 			continue
 		}
@@ -183,17 +183,17 @@
 // then times out.
 func (e *Election) release(ctx context.Context) {
 	e.mu.Lock()
-	intent, ok := e.lease.Release()
+	write, ok := e.lease.ReleaseWrite()
 	ok = ok && !e.released
 	e.released = true
-	e.lease.Released()
+	e.lease.MarkReleased()
 	e.mu.Unlock()
 	if !ok {
 		return
 	}
-	_, _, _, err := e.config.Store.Swap(ctx, table, key, intent.IfVersion, intent.Value)
+	_, _, _, err := e.config.Store.Swap(ctx, table, key, write.IfVersion, write.Value)
 	e.config.Recorder.Record(turmericwall.EventLeaderChanged).
-		Str("leader", "").Int("version", intent.IfVersion).Err(err).Send()
+		Str("leader", "").Int("version", write.IfVersion).Err(err).Send()
 }
 
 // readRow reads the row and reports whether the store answered.
@@ -211,7 +211,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lease.Seen(twboottime.Now(), row.Version, row.Value)
+	e.lease.RecordRow(twboottime.Now(), row.Version, row.Value)
 	return true
 }
 
@@ -219,22 +219,22 @@
 func (e *Election) writeRow(ctx context.Context) {
 	sentAt := twboottime.Now()
 	e.mu.Lock()
-	intent, due := e.lease.Next(sentAt)
+	write, due := e.lease.NextWrite(sentAt)
 	heldBefore := e.lease.Holds()
 	e.mu.Unlock()
 	if !due {
 		return
 	}
-	version, current, ok, err := e.config.Store.Swap(ctx, table, key, intent.IfVersion, intent.Value)
+	version, current, ok, err := e.config.Store.Swap(ctx, table, key, write.IfVersion, write.Value)
 	if err != nil {
-		e.config.Recorder.Record(turmericwall.EventLeaseUnreadable).Int("version", intent.IfVersion).Err(err).Send()
+		e.config.Recorder.Record(turmericwall.EventLeaseUnreadable).Int("version", write.IfVersion).Err(err).Send()
 		return
 	}
 	e.mu.Lock()
 	if !ok {
-		e.lease.Seen(twboottime.Now(), current.Version, current.Value)
+		e.lease.RecordRow(twboottime.Now(), current.Version, current.Value)
 	} else {
-		e.lease.Written(sentAt, intent, version)
+		e.lease.ConfirmWrite(sentAt, write, version)
 	}
 	holder, term, holds := e.lease.Holder(), e.lease.Term(), e.lease.Holds()
 	e.mu.Unlock()
--- a/internal/membership/twlease/lease.go
+++ b/internal/membership/twlease/lease.go
@@ -1,4 +1,5 @@
-// Package twlease decides who may hold the leader's lease. It reads and writes nothing itself.
+// Package twlease holds the rules of the leader's lease: who may take, renew and release it, and when its holder may
+// order engines. It does no I/O and starts no goroutine; package twelection reads and writes the row.
 package twlease
 
 import (
@@ -11,63 +12,66 @@
 )
 
 const (
-	// termSpan is how long a holder may act after the last renewal that it sent and that was confirmed.
-	termSpan = 3 * time.Second
-	// RenewEvery is the pause between two renewals: two may be lost within a term.
-	RenewEvery = time.Second
-	// silentSpan is how long the row must stay unchanged before another daemon takes it: a renewal and a half.
-	silentSpan = 1600 * time.Millisecond
-	// handoverMargin is added to the pause between the orders of two holders.
+	// termDuration is how long a holder may act after it sent the last renewal that was confirmed.
+	termDuration = 3 * time.Second
+	// RenewInterval is the time between two renewals: two may be lost within a term.
+	RenewInterval = time.Second
+	// takeoverTimeout is how long the row must stay unchanged before another daemon takes it: one and a half renewal
+	// intervals.
+	takeoverTimeout = 1600 * time.Millisecond
+	// handoverMargin is added to the time between the orders of two holders.
 	handoverMargin = 500 * time.Millisecond
 )
 
-// Config describes who wants the lease.
+// Config holds the settings of a lease.
 type Config struct {
 	Self turmericwall.Member
-	// Apart is the least time between the orders of two holders.
-	Apart time.Duration
+	// OrderGap is the least time between the last order of one holder and the first order of the next.
+	OrderGap time.Duration
 }
 
-// Lease is one daemon's knowledge of the lease's row.
+// Lease is one daemon's state of the lease's row. It is not safe for concurrent use.
 //
-// Holding the row lets a daemon place calls at once: two that do so cost speed only. Orders to engines are told
-// apart by time alone, since engines need not check fencing numbers: a new holder waits until the last order
-// that the former may have sent is older than Apart, and a holder stops when its term is over by the clock that
-// goes on during a suspension.
+// The holder may place calls at once: two daemons that both do so cost speed only. Orders to engines of two holders
+// are kept apart by time alone, since engines need not check fencing tokens. A new holder waits until the last order
+// that the former one may have sent is older than OrderGap. A holder stops sending orders when its term has expired
+// by the clock that also runs while the VM is suspended.
 type Lease struct {
 	config Config
-	// row is the row as last seen, seenAt when it was first seen so.
+	// version is the version of the row as last seen, and seenAt when this daemon first saw that version.
 	version int64
 	seen    bool
 	seenAt  twboottime.Moment
 	holder  turmericwall.Member
-	// fence is the version at which this daemon took the row; 0 while it does not hold it.
-	fence   int64
-	termEnd twboottime.Moment
-	// released tells that the row was given up: the holder places calls until another one does, and orders nothing.
-	released   bool
-	ordersFrom twboottime.Moment
+	// fence is the fencing token of this daemon's term; 0 while it does not hold the row.
+	fence        int64
+	termDeadline twboottime.Moment
+	// released is set once the row was released: the holder places calls until another daemon takes the row, but
+	// sends no orders.
+	released        bool
+	ordersAllowedAt twboottime.Moment
 }
 
-// Row is the lease as it stands in the store.
+// Row is the lease's row in the store.
 type Row struct {
 	Holder turmericwall.Member `json:"holder"`
-	// Fence is the version before the row was taken over; it is unique to the holder and grows.
+	// Fence is one more than the row's version at the takeover. It is unique to the holder's term and grows with each
+	// term.
 	Fence int64 `json:"fence"`
 }
 
-// Intent is a write that the lease wants.
-type Intent struct {
-	// IfVersion is the version that the row must have.
+// Write is a conditional write of the row that the lease asks for.
+type Write struct {
+	// IfVersion is the version that the row must have; 0 means that it must not exist.
 	IfVersion int64
 	Value     []byte
 }
 
-// New returns a lease of which nothing is known.
+// New returns a lease whose row has not been read yet.
 func New(config Config) *Lease { return &Lease{config: config} }
 
-// Seen takes the row as read from the store; version 0 tells that there is none.
-func (l *Lease) Seen(now twboottime.Moment, version int64, value []byte) {
+// RecordRow records the row as read from the store; version 0 means that there is none.
+func (l *Lease) RecordRow(now twboottime.Moment, version int64, value []byte) {
 	if l.seen && version == l.version {
 		return
 	}
@@ -84,15 +88,16 @@
 		return
 	}
 	if l.fence == 0 {
-		l.taken(now, row.Fence)
+		l.startTerm(now, row.Fence)
 	}
 }
 
-// Told takes the row's version as its holder tells it.
+// RecordVersion records the version of the row that its holder sent in a heartbeat.
 //
-// The row must stay unchanged for silentSpan before another daemon takes it, counted from the holder's last news and not
-// from the first read after it fell silent.
-func (l *Lease) Told(now twboottime.Moment, version int64, holder turmericwall.Member) {
+// The row must stay unchanged for takeoverTimeout before another daemon takes it. That time counts from the first
+// heartbeat with the row's last version; counted from the first read after the heartbeats stopped, the takeover would
+// come later by as much.
+func (l *Lease) RecordVersion(now twboottime.Moment, version int64, holder turmericwall.Member) {
 	if l.fence != 0 || version <= l.version {
 		return
 	}
@@ -102,24 +107,25 @@
 	l.holder = holder
 }
 
-// Version is the row's version as last seen.
+// Version returns the version of the row as last seen.
 func (l *Lease) Version() int64 { return l.version }
 
-// Next returns the write that is due, if any.
+// NextWrite returns the write that takes or renews the row, and whether one is due.
 //
-// A row that names an earlier incarnation of this daemon is taken at once: that one has ended, or this one could not run.
-// After all daemons had lost power, they placed calls alone for two seconds while the row seemed to be held. Its last
-// order may still be on its way, so orders wait as after any other holder.
-func (l *Lease) Next(now twboottime.Moment) (Intent, bool) {
+// A row that names an earlier incarnation of this daemon is taken at once: that incarnation has terminated, or this
+// one could not run. Otherwise, after a power loss of all daemons, calls are placed locally for two seconds while the
+// row still seems to be held. The last order of the earlier incarnation may still be in transit, so orders wait as
+// after any other holder.
+func (l *Lease) NextWrite(now twboottime.Moment) (Write, bool) {
 	if !l.seen {
-		return Intent{}, false
+		return Write{}, false
 	}
 	if l.released {
-		return Intent{}, false
+		return Write{}, false
 	}
 	free := l.holder == turmericwall.Member{} || l.holder.Name == l.config.Self.Name
-	if l.fence == 0 && l.version > 0 && !free && now.Sub(l.seenAt) < silentSpan {
-		return Intent{}, false
+	if l.fence == 0 && l.version > 0 && !free && now.Sub(l.seenAt) < takeoverTimeout {
+		return Write{}, false
 	}
 	fence := l.fence
 	if fence == 0 {
@@ -127,72 +133,73 @@
 	}
 	value, err := json.Marshal(Row{Holder: l.config.Self, Fence: fence})
 	if err != nil {
-		panic(fmt.Sprintf("a lease's row can always be encoded: %v", err))
+		panic(fmt.Sprintf("encode the lease's row: %v", err))
 	}
-	return Intent{IfVersion: l.version, Value: value}, true
+	return Write{IfVersion: l.version, Value: value}, true
 }
 
-// Release returns the write that gives the lease up, so that another daemon need not wait for it to fall silent.
-func (l *Lease) Release() (Intent, bool) {
+// ReleaseWrite returns the write that releases the row, so that another daemon need not wait for takeoverTimeout, and
+// whether this daemon holds the row at all.
+func (l *Lease) ReleaseWrite() (Write, bool) {
 	if l.fence == 0 {
-		return Intent{}, false
+		return Write{}, false
 	}
 	value, err := json.Marshal(Row{Fence: l.fence})
 	if err != nil {
-		panic(fmt.Sprintf("a lease's row can always be encoded: %v", err))
+		panic(fmt.Sprintf("encode the lease's row: %v", err))
 	}
-	return Intent{IfVersion: l.version, Value: value}, true
+	return Write{IfVersion: l.version, Value: value}, true
 }
 
-// Released takes the lease as given up, whether or not the write was confirmed: this daemon orders nothing more. It still
-// holds the place of the leader until another daemon takes it, so that calls need not be placed alone meanwhile.
-func (l *Lease) Released() { l.released = true }
+// MarkReleased records that the lease was released, whether or not the write was confirmed: this daemon sends no more
+// orders. It stays the leader until another daemon takes the row, so that calls need not be placed locally meanwhile.
+func (l *Lease) MarkReleased() { l.released = true }
 
-// Lost ends this daemon's part as leader: another one has a later term.
-func (l *Lease) Lost() {
+// Yield ends this daemon's leadership, because another daemon has a later term.
+func (l *Lease) Yield() {
 	l.fence = 0
 	l.seen = false
 }
 
-// Written takes a confirmed write that was begun at sentAt.
-func (l *Lease) Written(sentAt twboottime.Moment, intent Intent, version int64) {
+// ConfirmWrite records a confirmed write that was sent at sentAt, and the row's version after it.
+func (l *Lease) ConfirmWrite(sentAt twboottime.Moment, write Write, version int64) {
 	if l.fence == 0 {
-		l.taken(sentAt, intent.IfVersion+1)
+		l.startTerm(sentAt, write.IfVersion+1)
 	}
 	l.version = version
 	l.seenAt = sentAt
 	l.holder = l.config.Self
-	l.termEnd = sentAt.Add(termSpan)
+	l.termDeadline = sentAt.Add(termDuration)
 }
 
-// taken notes a takeover, which may be learned only by reading the row back after a write without an answer. Its
-// term begins with the next confirmed renewal.
-func (l *Lease) taken(now twboottime.Moment, fence int64) {
+// startTerm records a takeover. If the write was not answered, the takeover is found only by reading the row back,
+// and the daemon may send orders only after the next confirmed renewal.
+func (l *Lease) startTerm(now twboottime.Moment, fence int64) {
 	l.fence = fence
-	l.ordersFrom = now
+	l.ordersAllowedAt = now
 	if fence > 1 {
-		l.ordersFrom = now.Add(termSpan + l.config.Apart + handoverMargin)
+		l.ordersAllowedAt = now.Add(termDuration + l.config.OrderGap + handoverMargin)
 	}
 }
 
-// Holds tells that this daemon is the leader as far as it knows.
+// Holds reports whether this daemon is the leader as far as it knows.
 func (l *Lease) Holds() bool { return l.fence != 0 }
 
-// Fence returns the fencing number for orders; ok is false when this daemon may not order now.
+// Fence returns the fencing token for orders; ok is false when this daemon may not send orders now.
 func (l *Lease) Fence(now twboottime.Moment) (fence int64, ok bool) {
-	if l.fence == 0 || l.released || now >= l.termEnd || now < l.ordersFrom {
+	if l.fence == 0 || l.released || now >= l.termDeadline || now < l.ordersAllowedAt {
 		return 0, false
 	}
 	return l.fence, true
 }
 
-// Expired tells that this daemon holds the lease, but that its last renewal was confirmed more than a term ago.
+// Expired reports whether this daemon holds the lease, but sent its last confirmed renewal more than a term ago.
 func (l *Lease) Expired(now twboottime.Moment) bool {
-	return l.fence != 0 && l.termEnd != 0 && now >= l.termEnd
+	return l.fence != 0 && l.termDeadline != 0 && now >= l.termDeadline
 }
 
-// Term is the number of the leader's term.
+// Term returns the number of the leader's term; 0 when this daemon is not the leader.
 func (l *Lease) Term() int64 { return l.fence }
 
-// Holder is who holds the row as last seen.
+// Holder returns the daemon that holds the row as last seen; zero when it was released.
 func (l *Lease) Holder() turmericwall.Member { return l.holder }
