--- a/internal/membership/twrates/rates.go
+++ b/internal/membership/twrates/rates.go
@@ -1,4 +1,5 @@
-// Package twrates keeps the rates of requests that upstreams state in their answers.
+// Package twrates holds the request rates that upstreams state in their answers, as received by this daemon or
+// reported by peers. Before a call is sent, the throttle reads the upstream's rate here.
 package twrates
 
 import (
@@ -9,56 +10,62 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// listSpan is how long a statement of this daemon's own, or a lifted rate, is shared with peers: several heartbeats.
-const listSpan = 5 * time.Second
+// shareDuration is how long a statement that this daemon received, or a lifted rate, is sent to peers: several
+// heartbeats.
+const shareDuration = 5 * time.Second
 
-// forgetSpan is how long the statement of an upstream that is no longer listed is kept: its entry may lapse and come back.
-const forgetSpan = time.Minute
+// statementRetention is how long the statement of an unlisted upstream is kept: its entry may lapse and be listed
+// again.
+const statementRetention = time.Minute
 
-// maxAge bounds the age of a peer's statement, which would overflow otherwise.
-const maxAge = 24 * time.Hour
+// maxStatementAge limits the age in a peer's statement; a larger one could overflow a duration.
+const maxStatementAge = 24 * time.Hour
 
-// Config says what the rates work with.
+// Config holds what the rates depend on.
 type Config struct {
 	Recorder turmericwall.Recorder
-	// Now is the time by the steady clock.
+	// Now returns the current time with a monotonic clock reading.
 	Now func() time.Time
 }
 
-// Rates hold the newest statement of each upstream.
+// Rates holds the newest statement of each upstream. It is safe for concurrent use.
 //
-// Answers overtake each other. A lower rate is taken at once; a higher one, or none, only from an answer to a call that was
-// sent after the last lower statement was received.
+// Answers may overtake each other. A lower rate is applied at once; a higher one, or none, only from an answer to a
+// call that was sent after the last lower statement was received.
 type Rates struct {
-	config Config
-	mu     sync.Mutex
-	known  map[turmericwall.UpstreamKey]*statement
-	// any tells that statements are known: usually there are none, and rates are asked for each engine at each decision.
-	any atomic.Bool
+	config     Config
+	mu         sync.Mutex
+	statements map[turmericwall.UpstreamKey]*statement
+	// hasStatements spares callers the lock: usually there are no statements, and each placement reads the rates of
+	// all engines.
+	hasStatements atomic.Bool
 }
 
+// statement is an upstream's statement of its rate in requests per second, or of having no limit any more.
 type statement struct {
 	perSecond float64
 	lifted    bool
-	// at is when the upstream said so, at the earliest for a lifted rate and at the latest else.
-	at time.Time
-	// ownAt is when this daemon last received it from the upstream itself; zero when only peers did.
-	ownAt time.Time
+	// statedAt is when the upstream stated the rate: the latest possible time for a rate, the earliest for a lifted
+	// one.
+	statedAt time.Time
+	// receivedAt is when this daemon last received the statement from the upstream itself; zero if it came from peers
+	// only.
+	receivedAt time.Time
 }
 
-// New returns rates of no upstream.
+// New returns rates without any statement.
 func New(config Config) *Rates {
-	return &Rates{config: config, known: make(map[turmericwall.UpstreamKey]*statement)}
+	return &Rates{config: config, statements: make(map[turmericwall.UpstreamKey]*statement)}
 }
 
-// Take takes what an answer to this daemon states.
+// Take records what an answer to this daemon states.
 func (r *Rates) Take(from turmericwall.UpstreamKey, s turmericwall.UpstreamStatement) {
 	if !s.RateStated && !s.RateLifted {
 		return
 	}
-	next := statement{perSecond: s.PerSecond, lifted: s.RateLifted, at: s.ReceivedAt, ownAt: s.ReceivedAt}
+	next := statement{perSecond: s.PerSecond, lifted: s.RateLifted, statedAt: s.ReceivedAt, receivedAt: s.ReceivedAt}
 	if next.lifted {
-		next.at = s.SentAt
+		next.statedAt = s.SentAt
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +74,7 @@
 	}
 }
 
-// TakeList takes what a peer knows.
+// TakeList records the statements that a peer sent.
 func (r *Rates) TakeList(list []turmericwall.UpstreamRate) {
 	if len(list) == 0 {
 		return
@@ -76,35 +83,36 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, u := range list {
-		age := time.Duration(min(max(u.AgeMillis, 0), maxAge.Milliseconds())) * time.Millisecond
-		next := statement{perSecond: u.PerSecond, lifted: u.Lifted, at: now.Add(-age)}
-		if r.supersedes(u.Key(), next, next.at) {
+		age := time.Duration(min(max(u.AgeMillis, 0), maxStatementAge.Milliseconds())) * time.Millisecond
+		next := statement{perSecond: u.PerSecond, lifted: u.Lifted, statedAt: now.Add(-age)}
+		if r.supersedes(u.Key(), next, next.statedAt) {
 			r.put(u.Key(), next, "peer")
 		}
 	}
 }
 
-// supersedes tells that the statement replaces the known one; since is when the call was sent that it answers. The lock is
-// held.
-func (r *Rates) supersedes(key turmericwall.UpstreamKey, next statement, since time.Time) bool {
-	known, ok := r.known[key]
+// supersedes reports whether a statement replaces the known one. sentAt is when the call was sent whose answer
+// carried it. The lock is held.
+func (r *Rates) supersedes(key turmericwall.UpstreamKey, next statement, sentAt time.Time) bool {
+	known, ok := r.statements[key]
 	if !ok {
 		return !next.lifted
 	}
 	if next.lifted || (!known.lifted && next.perSecond > known.perSecond) {
-		return since.After(known.at)
+		return sentAt.After(known.statedAt)
 	}
-	return next.at.After(known.at)
+	return next.statedAt.After(known.statedAt)
 }
 
-// put keeps a statement; the lock is held.
+// put stores a statement and logs it if it differs from the known one; source names its origin in the log. The lock
+// is held.
 func (r *Rates) put(key turmericwall.UpstreamKey, next statement, source string) {
-	known, ok := r.known[key]
-	r.known[key] = &next
-	r.any.Store(true)
+	known, ok := r.statements[key]
+	r.statements[key] = &next
+	r.hasStatements.Store(true)
 	if ok && known.lifted == next.lifted && known.perSecond == next.perSecond {
-		if next.ownAt.IsZero() {
-			next.ownAt = known.ownAt
+		if next.receivedAt.IsZero() {
+			next.receivedAt = known.receivedAt
 		}
 		return
 	}
@@ -113,76 +121,81 @@
 		lifted = 1
 	}
 	r.config.Recorder.Record(turmericwall.EventUpstreamRate).Str("upstream", key.ID).Float("perSecond", next.perSecond).
-		Int("lifted", lifted).Int("ageMillis", r.config.Now().Sub(next.at).Milliseconds()).Str("source", source).Send()
+		Int("lifted", lifted).Int("ageMillis", r.config.Now().Sub(next.statedAt).Milliseconds()).
+		Str("source", source).Send()
 }
 
-// Rate is the rate that the upstream states, in requests a second of all daemons; ok is false when it states none.
+// Rate returns the rate that the upstream states, in requests per second of all daemons together; ok is false when it
+// states none.
 func (r *Rates) Rate(key turmericwall.UpstreamKey) (perSecond float64, ok bool) {
-	if !r.any.Load() {
+	if !r.hasStatements.Load() {
 		return 0, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.known[key]
+	known, ok := r.statements[key]
 	if !ok || known.lifted {
 		return 0, false
 	}
 	return known.perSecond, true
 }
 
-// Statement is the rate that the upstream states, as it is shared with peers; ok is false when it states none.
+// Statement returns the rate that the upstream states in the form that peers get; ok is false when it states none.
 func (r *Rates) Statement(key turmericwall.UpstreamKey) (statement turmericwall.UpstreamRate, ok bool) {
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.known[key]
+	known, ok := r.statements[key]
 	if !ok || known.lifted {
 		return turmericwall.UpstreamRate{}, false
 	}
-	return known.shared(key, now), true
+	return known.toUpstreamRate(key, now), true
 }
 
-// shared is the statement in the form that peers get.
-func (s *statement) shared(key turmericwall.UpstreamKey, now time.Time) turmericwall.UpstreamRate {
+// toUpstreamRate returns the statement in the form that peers get.
+func (s *statement) toUpstreamRate(key turmericwall.UpstreamKey, now time.Time) turmericwall.UpstreamRate {
 	return turmericwall.UpstreamRate{
 		ID: key.ID, StartedMillis: key.StartedMillis, PerSecond: s.perSecond, Lifted: s.lifted,
-		AgeMillis: max(now.Sub(s.at).Milliseconds(), 0),
+		AgeMillis: max(now.Sub(s.statedAt).Milliseconds(), 0),
 	}
 }
 
-// List is what this daemon shares with all others while it is the leader: the rates in force, and those lifted lately.
+// List returns what the leader sends to all daemons: the rates in force, and those lifted within shareDuration.
 func (r *Rates) List() []turmericwall.UpstreamRate {
-	return r.list(func(s *statement, now time.Time) bool { return !s.lifted || now.Sub(s.at) < listSpan })
+	return r.list(func(s *statement, now time.Time) bool { return !s.lifted || now.Sub(s.statedAt) < shareDuration })
 }
 
-// Own is what this daemon lately received from upstreams itself, for the leader.
+// Own returns what this daemon received from upstreams itself within shareDuration, for the leader.
 func (r *Rates) Own() []turmericwall.UpstreamRate {
-	return r.list(func(s *statement, now time.Time) bool { return !s.ownAt.IsZero() && now.Sub(s.ownAt) < listSpan })
+	return r.list(func(s *statement, now time.Time) bool {
+		return !s.receivedAt.IsZero() && now.Sub(s.receivedAt) < shareDuration
+	})
 }
 
-func (r *Rates) list(wanted func(s *statement, now time.Time) bool) []turmericwall.UpstreamRate {
+// list returns the statements for which include reports true.
+func (r *Rates) list(include func(s *statement, now time.Time) bool) []turmericwall.UpstreamRate {
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []turmericwall.UpstreamRate
-	for key, s := range r.known {
-		if !wanted(s, now) {
+	for key, s := range r.statements {
+		if !include(s, now) {
 			continue
 		}
-		list = append(list, s.shared(key, now))
+		list = append(list, s.toUpstreamRate(key, now))
 	}
 	return list
 }
 
-// Forget drops the upstreams that are no longer known and stated nothing lately.
+// Forget removes the upstreams that are not known any more and stated nothing within statementRetention.
 func (r *Rates) Forget(known func(turmericwall.UpstreamKey) bool) {
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key, s := range r.known {
-		if now.Sub(s.at) > forgetSpan && !known(key) {
-			delete(r.known, key)
+	for key, s := range r.statements {
+		if now.Sub(s.statedAt) > statementRetention && !known(key) {
+			delete(r.statements, key)
 		}
 	}
-	r.any.Store(len(r.known) > 0)
+	r.hasStatements.Store(len(r.statements) > 0)
 }
--- a/internal/membership/twrates/rates_test.go
+++ b/internal/membership/twrates/rates_test.go
@@ -13,15 +13,19 @@
 )
 
 var (
-	began = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
+	start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	key   = turmericwall.UpstreamKey{ID: "a", StartedMillis: 1}
 )
 
-func at(millis int) time.Time { return began.Add(time.Duration(millis) * time.Millisecond) }
+func at(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
 
-// answer is an answer that came 10 ms after its call was sent; a negative rate states none.
-func answer(sent int, rate float64) turmericwall.UpstreamStatement {
-	return turmericwall.UpstreamStatement{SentAt: at(sent), ReceivedAt: at(sent + 10), PerSecond: max(rate, 0), RateStated: rate >= 0, RateLifted: rate < 0}
+// answer returns the statement of an answer that arrived 10 ms after its call was sent; a negative rate stands for
+// none.
+func answer(sentMillis int, rate float64) turmericwall.UpstreamStatement {
+	return turmericwall.UpstreamStatement{
+		SentAt: at(sentMillis), ReceivedAt: at(sentMillis + 10),
+		PerSecond: max(rate, 0), RateStated: rate >= 0, RateLifted: rate < 0,
+	}
 }
 
 func newRates(now *time.Time, log *bytes.Buffer) *twrates.Rates {
@@ -30,8 +34,8 @@
 	})
 }
 
-// Guards against an answer from before a statement that undoes it.
-func TestAnAnswerThatWasOvertakenLiftsNothing(t *testing.T) {
+// Guards against an answer to a call from before a statement that cancels this statement.
+func TestOvertakenAnswerDoesNotLiftOrRaiseRate(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		answers []turmericwall.UpstreamStatement
@@ -41,11 +45,11 @@
 		{"no statement", []turmericwall.UpstreamStatement{answer(0, -1)}, 0, false},
 		{"a statement", []turmericwall.UpstreamStatement{answer(0, -1), answer(20, 3)}, 3, true},
 		{"a zero rate", []turmericwall.UpstreamStatement{answer(0, 0)}, 0, true},
-		{"an answer from before", []turmericwall.UpstreamStatement{answer(20, 3), answer(25, -1)}, 3, true},
-		{"no longer said", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, -1)}, 0, false},
-		{"said again", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, -1), answer(60, 2)}, 2, true},
+		{"an answer to an earlier call", []turmericwall.UpstreamStatement{answer(20, 3), answer(25, -1)}, 3, true},
+		{"no longer stated", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, -1)}, 0, false},
+		{"stated again", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, -1), answer(60, 2)}, 2, true},
 		{"lowered at once", []turmericwall.UpstreamStatement{answer(20, 3), answer(21, 1)}, 1, true},
-		{"raised by an answer from before", []turmericwall.UpstreamStatement{answer(20, 3), answer(21, 9)}, 3, true},
+		{"raised by an answer to an earlier call", []turmericwall.UpstreamStatement{answer(20, 3), answer(21, 9)}, 3, true},
 		{"raised", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, 9)}, 9, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -62,7 +66,7 @@
 	}
 }
 
-func TestPeersLearnTheNewestStatement(t *testing.T) {
+func TestPeersGetNewestStatement(t *testing.T) {
 	g := NewWithT(t)
 	now := at(100)
 	leader, other := newRates(&now, &bytes.Buffer{}), newRates(&now, &bytes.Buffer{})
@@ -84,24 +88,24 @@
 	g.Expect(leader.List()).To(BeEmpty())
 }
 
-func TestARestartedUpstreamHasNoRate(t *testing.T) {
+func TestRestartedUpstreamHasNoRate(t *testing.T) {
 	g := NewWithT(t)
 	now := at(100)
 	r := newRates(&now, &bytes.Buffer{})
 	r.Take(key, answer(20, 3))
 	_, limited := r.Rate(turmericwall.UpstreamKey{ID: "a", StartedMillis: 2})
 	g.Expect(limited).To(BeFalse())
-	gone := func(turmericwall.UpstreamKey) bool { return false }
-	r.Forget(gone)
+	unknown := func(turmericwall.UpstreamKey) bool { return false }
+	r.Forget(unknown)
 	_, limited = r.Rate(key)
-	g.Expect(limited).To(BeTrue(), "its entry may have lapsed for a moment")
+	g.Expect(limited).To(BeTrue(), "its entry may have lapsed and be listed again")
 	now = at(70_000)
-	r.Forget(gone)
+	r.Forget(unknown)
 	_, limited = r.Rate(key)
 	g.Expect(limited).To(BeFalse())
 }
 
-func TestOnlyChangesAreLogged(t *testing.T) {
+func TestOnlyChangedStatementsAreLogged(t *testing.T) {
 	g := NewWithT(t)
 	now := at(100)
 	log := &bytes.Buffer{}
