--- a/internal/membership/twsource/source.go
+++ b/internal/membership/twsource/source.go
@@ -1,5 +1,6 @@
-// Package twsource decides where a daemon learns routes and upstreams: from the leader, from a peer, or by reading the
-// store itself. It has no clock, socket or goroutine.
+// Package twsource decides where a daemon gets routes and upstreams from: the leader's heartbeats, a query to a peer,
+// or its own reads of the store. It has no clock and does no I/O. It stands beside a request's way and keeps the
+// state current by which requests are served.
 package twsource
 
 import (
@@ -9,136 +10,139 @@
 )
 
 const (
-	// asksPerStaleness is how often a daemon that hears no leader asks its peers while its knowledge grows stale.
-	asksPerStaleness = 6
-	// startAsk is the pause between two questions of a daemon that knows nothing yet.
-	startAsk = 150 * time.Millisecond
-	// uselessAsks is how many questions in a row must find no use before this daemon reads the store by itself.
-	uselessAsks = 3
-	// relieveShare is the part of the staleness at which a standby begins to read.
-	relieveShare = 0.75
-	// readerTenure is how long a daemon whose read succeeded goes on reading.
-	readerTenure = 2 * time.Second
-	// bootstrapWait is how long a starting daemon waits for its seeds before it reads the store.
-	bootstrapWait = 1500 * time.Millisecond
-	// firstSpread is the span over which daemons that hear nobody spread their first reads.
-	firstSpread = 400 * time.Millisecond
-	// fleetRetryInterval is the mean pause between two reads, by all daemons that hear nobody together, of a store that
-	// fails them.
+	// queriesPerStaleness is how often within Config.Staleness a daemon without a leader queries its peers.
+	queriesPerStaleness = 6
+	// startQueryInterval is the mean time between two queries of a daemon that has no state yet.
+	startQueryInterval = 150 * time.Millisecond
+	// maxUselessQueries is how many queries in a row must bring nothing before this daemon reads the store itself.
+	maxUselessQueries = 3
+	// standbyReadShare is the part of Config.Staleness after which a standby begins to read.
+	standbyReadShare = 0.75
+	// readDuration is how long a daemon continues to read after it began.
+	readDuration = 2 * time.Second
+	// bootstrapTimeout is how long a starting daemon waits for its seeds before it reads the store.
+	bootstrapTimeout = 1500 * time.Millisecond
+	// firstReadSpread is the span over which daemons without a leader spread their first reads.
+	firstReadSpread = 400 * time.Millisecond
+	// fleetRetryInterval is the mean time between two reads of a failing store by all daemons without a leader
+	// together.
 	fleetRetryInterval = 100 * time.Millisecond
-	// seedRetry is the pause between two such reads of a starting seed: others wait for it.
-	seedRetry = 200 * time.Millisecond
-	// leastRetry is the shortest mean pause between two such reads of one daemon.
-	leastRetry = 500 * time.Millisecond
-	// unknownDaemons stands for the number of daemons while it is unknown.
-	unknownDaemons = 30
+	// seedRetryInterval is the time between two reads of a failing store by a starting seed: other daemons wait for
+	// it.
+	seedRetryInterval = 200 * time.Millisecond
+	// minRetryInterval is the shortest mean time between two reads of a failing store by one daemon.
+	minRetryInterval = 500 * time.Millisecond
+	// assumedDaemons is used as the number of daemons while it is unknown.
+	assumedDaemons = 30
 )
 
-// Config says what a source works with.
+// Config holds the settings of a source.
 type Config struct {
-	// Staleness is the largest age of knowledge that a daemon acts on.
+	// Staleness is the largest age of state that a daemon acts on.
 	Staleness time.Duration
-	// Seed tells that other daemons begin with this one: it reads the store at its start without waiting.
+	// Seed is set when other daemons start from this one: it reads the store at its start without waiting.
 	Seed bool
 	// StartedAt is when the daemon started.
 	StartedAt time.Time
-	// Random returns a number in [0, 1), which spreads the reads of many daemons.
+	// Random returns a number in [0, 1) that spreads the reads of many daemons.
 	Random func() float64
 }
 
-// Observation is what the daemon knows when it asks the source.
+// Observation is the daemon's state at the time of a decision.
 type Observation struct {
-	// Leader tells that this daemon is the leader, and Standby that the leader has chosen it to read when it can't.
+	// Leader is set when this daemon is the leader, and Standby when the leader chose it to read the store in its
+	// place if necessary.
 	Leader  bool
 	Standby bool
-	// LeaderLive tells that a leader was heard lately.
+	// LeaderLive is set when there is a live leader.
 	LeaderLive bool
-	// FreshAt is when the store was asked for the newest answer that this daemon knows of; zero when it knows nothing.
+	// FreshAt is when the store was queried for the newest state that this daemon has; zero when it has none.
 	FreshAt time.Time
-	// Daemons is the number of live daemons, 0 when it is unknown.
+	// Daemons is the number of live daemons, or 0 when it is unknown.
 	Daemons int
 }
 
-// Source decides for one daemon.
+// Source makes the decisions of one daemon. It is safe for concurrent use.
 type Source struct {
 	config Config
 	mu     sync.Mutex
 	// readUntil is when this daemon's own reading ends.
 	readUntil time.Time
-	// retryAt is when a daemon that hears nobody may read; zero while it does not need to.
-	retryAt time.Time
-	askAt   time.Time
-	// useless counts the questions to peers since the last one that was of use.
-	useless int
+	// nextReadAt is when a daemon without a leader may read; zero while it does not need to.
+	nextReadAt  time.Time
+	nextQueryAt time.Time
+	// uselessQueries is how many queries to peers brought nothing since the last useful one.
+	uselessQueries int
 }
 
-// New returns the source of a daemon that knows nothing.
+// New returns the source of a daemon that has no state yet.
 func New(config Config) *Source { return &Source{config: config} }
 
-// Fresh tells that the daemon's knowledge is new enough to act on.
+// Fresh reports whether the daemon's state is new enough to act on.
 func (s *Source) Fresh(now time.Time, o Observation) bool {
 	return !o.FreshAt.IsZero() && now.Sub(o.FreshAt) < s.config.Staleness
 }
 
-// Reads tells that this daemon reads the store now.
+// Reads reports whether this daemon has to read the store now.
 //
-// The leader reads for all, and has standbys read when it can't. The others read only when they hear nobody: all daemons
-// reading at once load a store that is already in trouble.
+// The leader reads for all daemons, and its standbys read when it cannot. The others read only without a live leader
+// and after peers brought nothing: reads of all daemons at once would load a store that already fails.
 func (s *Source) Reads(now time.Time, o Observation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.Leader || now.Before(s.readUntil) || (o.Standby && s.relieves(now, o)) {
+	if o.Leader || now.Before(s.readUntil) || (o.Standby && s.mustStandbyRead(now, o)) {
 		return true
 	}
 	if o.LeaderLive || s.Fresh(now, o) {
-		s.retryAt = time.Time{}
+		s.nextReadAt = time.Time{}
 		return false
 	}
-	if s.waitsForPeers(now, o) {
+	if s.awaitsPeers(now, o) {
 		return false
 	}
-	if s.retryAt.IsZero() {
-		s.retryAt = now
+	if s.nextReadAt.IsZero() {
+		s.nextReadAt = now
 		if !s.config.Seed {
-			s.retryAt = now.Add(time.Duration(s.config.Random() * float64(firstSpread)))
+			s.nextReadAt = now.Add(time.Duration(s.config.Random() * float64(firstReadSpread)))
 		}
 	}
-	if now.Before(s.retryAt) {
+	if now.Before(s.nextReadAt) {
 		return false
 	}
-	s.retryAt = now.Add(s.retryPause(o))
-	s.readUntil = now.Add(readerTenure)
+	s.nextReadAt = now.Add(s.drawRetryInterval(o))
+	s.readUntil = now.Add(readDuration)
 	return true
 }
 
-// relieves tells that a standby must read: early enough for the others to learn from it before they are stale, and
-// whenever it may have to take the lease.
-func (s *Source) relieves(now time.Time, o Observation) bool {
-	return !o.LeaderLive || float64(now.Sub(o.FreshAt)) >= relieveShare*float64(s.config.Staleness)
+// mustStandbyRead reports whether a standby has to read: early enough for the others to get its state before theirs
+// is stale, and always when it may have to take the lease.
+func (s *Source) mustStandbyRead(now time.Time, o Observation) bool {
+	return !o.LeaderLive || float64(now.Sub(o.FreshAt)) >= standbyReadShare*float64(s.config.Staleness)
 }
 
-// waitsForPeers tells that a peer may still answer; the lock is held.
-func (s *Source) waitsForPeers(now time.Time, o Observation) bool {
+// awaitsPeers reports whether a peer may still bring the state; the lock is held.
+func (s *Source) awaitsPeers(now time.Time, o Observation) bool {
 	if o.FreshAt.IsZero() {
-		return !s.config.Seed && now.Sub(s.config.StartedAt) < bootstrapWait
+		return !s.config.Seed && now.Sub(s.config.StartedAt) < bootstrapTimeout
 	}
-	return s.useless < uselessAsks
+	return s.uselessQueries < maxUselessQueries
 }
 
-// retryPause is drawn so that the store gets the same rate of reads from any number of daemons; the lock is held.
-func (s *Source) retryPause(o Observation) time.Duration {
+// drawRetryInterval draws the time to the next read, so that the store gets the same rate of reads from any number of
+// daemons; the lock is held.
+func (s *Source) drawRetryInterval(o Observation) time.Duration {
 	if s.config.Seed && o.FreshAt.IsZero() {
-		return seedRetry
+		return seedRetryInterval
 	}
 	daemons := o.Daemons
 	if daemons == 0 {
-		daemons = unknownDaemons
+		daemons = assumedDaemons
 	}
-	mean := max(time.Duration(daemons)*fleetRetryInterval, leastRetry)
+	mean := max(time.Duration(daemons)*fleetRetryInterval, minRetryInterval)
 	return time.Duration(-math.Log(1-s.config.Random()) * float64(mean))
 }
 
-// Read takes the outcome of one read of the store.
+// Read records the outcome of a read of the store. After an error the daemon stops reading until the next retry.
 func (s *Source) Read(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,32 +151,32 @@
 	}
 }
 
-// Asks tells that this daemon, which hears no leader, should ask a peer for its knowledge and its leader now.
+// Asks reports whether this daemon, which has no live leader, has to query a peer for its state and its leader now.
 func (s *Source) Asks(now time.Time, o Observation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o.LeaderLive {
-		s.useless = 0
+		s.uselessQueries = 0
 		return false
 	}
-	if now.Before(s.askAt) {
+	if now.Before(s.nextQueryAt) {
 		return false
 	}
-	pause := s.config.Staleness / asksPerStaleness
+	interval := s.config.Staleness / queriesPerStaleness
 	if o.FreshAt.IsZero() {
-		pause = startAsk
+		interval = startQueryInterval
 	}
-	s.askAt = now.Add(pause/2 + time.Duration(s.config.Random()*float64(pause)))
+	s.nextQueryAt = now.Add(interval/2 + time.Duration(s.config.Random()*float64(interval)))
 	return true
 }
 
-// Asked takes the outcome of a question to a peer: whether it named a live leader or had newer knowledge.
+// Asked records the outcome of a query to a peer. It was useful if the peer named a live leader or had newer state.
 func (s *Source) Asked(useful bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if useful {
-		s.useless = 0
+		s.uselessQueries = 0
 		return
 	}
-	s.useless++
+	s.uselessQueries++
 }
--- a/internal/membership/twsource/source_test.go
+++ b/internal/membership/twsource/source_test.go
@@ -17,33 +17,33 @@
 	step      = 50 * time.Millisecond
 )
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newSource(seed bool, random func() float64) *twsource.Source {
-	return twsource.New(twsource.Config{Staleness: staleness, Seed: seed, StartedAt: began, Random: random})
+	return twsource.New(twsource.Config{Staleness: staleness, Seed: seed, StartedAt: start, Random: random})
 }
 
-func half() float64 { return 0.5 }
+func returnHalf() float64 { return 0.5 }
 
-// fleet replays how many daemons read a store while something is wrong with it.
+// fleet simulates daemons that read a store in steps of 50 ms.
 type fleet struct {
 	sources []*twsource.Source
-	seen    func(daemon int, now time.Time) twsource.Observation
-	// readable tells whether the store answers the daemon.
+	observe func(daemon int, now time.Time) twsource.Observation
+	// readable reports whether the store answers the daemon.
 	readable func(daemon int, now time.Time) bool
-	// answers tells whether a peer answers the daemon's question.
-	answers func(daemon int) bool
+	// peerIsUseful reports whether a query of the daemon to a peer is useful.
+	peerIsUseful func(daemon int) bool
 }
 
-// play returns how many reads were begun until the end, and by how many daemons.
-func (f *fleet) play(from, until time.Time) (reads, readers int) {
+// simulate returns how many reads were started in the span, and by how many daemons.
+func (f *fleet) simulate(from, until time.Time) (reads, readers int) {
 	read := make(map[int]bool)
 	busyUntil := make(map[int]time.Time)
 	for now := from; now.Before(until); now = now.Add(step) {
 		for i, s := range f.sources {
-			o := f.seen(i, now)
-			if f.answers != nil && s.Asks(now, o) {
-				s.Asked(f.answers(i))
+			o := f.observe(i, now)
+			if f.peerIsUseful != nil && s.Asks(now, o) {
+				s.Asked(f.peerIsUseful(i))
 			}
 			if !s.Reads(now, o) || now.Before(busyUntil[i]) {
 				continue
@@ -54,7 +54,7 @@
 				s.Read(nil)
 				busyUntil[i] = now.Add(400 * time.Millisecond)
 			} else {
-				s.Read(errors.New("no answer"))
+				s.Read(errors.New("no reply from the store"))
 			}
 		}
 	}
@@ -70,51 +70,51 @@
 	return f
 }
 
-// All daemons of a large deployment read the store by themselves when they start at once.
-func TestOnlySeedsReadWhileAllStart(t *testing.T) {
+// Guards against all daemons of a large deployment reading the store when they start at once.
+func TestOnlySeedsReadStoreWhenAllDaemonsStart(t *testing.T) {
 	for _, n := range []int{6, 79, 295, 1000} {
 		g := NewWithT(t)
 		f := newFleet(n, 3)
-		led := began.Add(400 * time.Millisecond)
-		f.seen = func(_ int, now time.Time) twsource.Observation {
-			if now.Before(led) {
+		leaderElectedAt := start.Add(400 * time.Millisecond)
+		f.observe = func(_ int, now time.Time) twsource.Observation {
+			if now.Before(leaderElectedAt) {
 				return twsource.Observation{}
 			}
 			return twsource.Observation{LeaderLive: true, FreshAt: now, Daemons: n}
 		}
 		f.readable = func(int, time.Time) bool { return true }
-		f.answers = func(int) bool { return true }
-		_, readers := f.play(began, began.Add(5*time.Second))
+		f.peerIsUseful = func(int) bool { return true }
+		_, readers := f.simulate(start, start.Add(5*time.Second))
 		g.Expect(readers).To(Equal(3), "%d daemons", n)
 	}
 }
 
-// Daemons whose seeds are all down never read the store and never serve.
-func TestDaemonsWithoutSeedsReadTheStore(t *testing.T) {
+// Guards against daemons that never read the store, and so never serve, when all their seeds are down.
+func TestDaemonsWithoutSeedsReadStore(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(20, 0)
-	f.seen = func(int, time.Time) twsource.Observation { return twsource.Observation{} }
+	f.observe = func(int, time.Time) twsource.Observation { return twsource.Observation{} }
 	f.readable = func(int, time.Time) bool { return true }
-	f.answers = func(int) bool { return false }
-	_, readers := f.play(began, began.Add(3*time.Second))
+	f.peerIsUseful = func(int) bool { return false }
+	_, readers := f.simulate(start, start.Add(3*time.Second))
 	g.Expect(readers).To(Equal(20), "within three seconds")
 }
 
-// An outage of the store draws calls from all daemons, all the while.
-func TestAnOutageDrawsNoReadsFromFollowers(t *testing.T) {
+// Guards against calls of all daemons to a store that is in an outage.
+func TestFollowersDoNotReadDuringStoreOutage(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(300, 3)
-	lostAt := began.Add(time.Minute)
-	f.seen = func(daemon int, _ time.Time) twsource.Observation {
+	lostAt := start.Add(time.Minute)
+	f.observe = func(daemon int, _ time.Time) twsource.Observation {
 		return twsource.Observation{Leader: daemon == 0, Standby: daemon == 1 || daemon == 2, LeaderLive: true, FreshAt: lostAt, Daemons: 300}
 	}
 	f.readable = func(int, time.Time) bool { return false }
-	_, readers := f.play(lostAt, lostAt.Add(8*time.Second))
+	_, readers := f.simulate(lostAt, lostAt.Add(8*time.Second))
 	g.Expect(readers).To(Equal(3))
 }
 
-// The store goes down and the leader dies in it; all daemons call the store as fast as they can.
-func TestDaemonsThatHearNobodyShareTheirRetries(t *testing.T) {
+// Guards against daemons that all retry at full speed when the leader terminates during a store outage.
+func TestDaemonsWithoutLeaderShareRetryRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(6, 1000).Draw(t, "daemons")
@@ -123,62 +123,62 @@
 		for range n {
 			f.sources = append(f.sources, newSource(false, random.Float64))
 		}
-		lostAt := began.Add(time.Minute)
-		f.seen = func(int, time.Time) twsource.Observation { return twsource.Observation{FreshAt: lostAt, Daemons: n} }
+		lostAt := start.Add(time.Minute)
+		f.observe = func(int, time.Time) twsource.Observation { return twsource.Observation{FreshAt: lostAt, Daemons: n} }
 		f.readable = func(int, time.Time) bool { return false }
-		f.answers = func(int) bool { return false }
-		reads, _ := f.play(lostAt, lostAt.Add(8*time.Second))
-		g.Expect(reads).To(BeNumerically("<=", n+2*80), "one read each, and ten a second together")
+		f.peerIsUseful = func(int) bool { return false }
+		reads, _ := f.simulate(lostAt, lostAt.Add(8*time.Second))
+		g.Expect(reads).To(BeNumerically("<=", n+2*80), "one read each, and ten per second of all daemons together")
 	})
 }
 
-// The leader and all its standbys die at once; the others go on with what they know for ever.
-func TestDaemonsThatHearNobodyReadTheStore(t *testing.T) {
+// Guards against daemons that continue with stale state when the leader and all its standbys terminate at once.
+func TestDaemonsWithoutLeaderReadStore(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(50, 0)
-	lostAt := began.Add(time.Minute)
+	lostAt := start.Add(time.Minute)
 	freshAt := make([]time.Time, 50)
 	for i := range freshAt {
 		freshAt[i] = lostAt
 	}
-	f.seen = func(daemon int, _ time.Time) twsource.Observation {
+	f.observe = func(daemon int, _ time.Time) twsource.Observation {
 		return twsource.Observation{FreshAt: freshAt[daemon], Daemons: 50}
 	}
 	f.readable = func(daemon int, now time.Time) bool {
 		freshAt[daemon] = now
 		return true
 	}
-	f.answers = func(int) bool { return false }
-	f.play(lostAt, lostAt.Add(2*time.Second))
+	f.peerIsUseful = func(int) bool { return false }
+	f.simulate(lostAt, lostAt.Add(2*time.Second))
 	for _, at := range freshAt {
 		g.Expect(at).To(BeTemporally(">", lostAt))
 	}
 }
 
-// A leader is cut off from the store; its standby must know the newest state before the followers are stale.
-func TestAStandbyReadsBeforeOthersAreStale(t *testing.T) {
+// The leader is partitioned from the store. Its standby must have the newest state before the followers are stale.
+func TestStandbyReadsBeforeFollowersAreStale(t *testing.T) {
 	g := NewWithT(t)
-	s := newSource(false, half)
-	lostAt := began.Add(time.Minute)
+	s := newSource(false, returnHalf)
+	lostAt := start.Add(time.Minute)
 	o := twsource.Observation{Standby: true, LeaderLive: true, FreshAt: lostAt, Daemons: 295}
-	g.Expect(s.Reads(lostAt.Add(500*time.Millisecond), o)).To(BeFalse(), "the leader reads for all")
+	g.Expect(s.Reads(lostAt.Add(500*time.Millisecond), o)).To(BeFalse(), "the leader reads for all daemons")
 	g.Expect(s.Reads(lostAt.Add(1000*time.Millisecond), o)).To(BeTrue())
 	o.LeaderLive = false
 	g.Expect(s.Reads(lostAt.Add(200*time.Millisecond), o)).To(BeTrue(), "it may have to take the lease")
 }
 
-// A daemon that hears no leader asks its peers without a pause.
-func TestQuestionsToPeersHaveAPause(t *testing.T) {
+// Guards against a daemon without a leader that queries its peers without a pause.
+func TestQueriesToPeersAreSpaced(t *testing.T) {
 	g := NewWithT(t)
-	s := newSource(false, half)
-	asks := 0
-	o := twsource.Observation{FreshAt: began}
-	for now := began; now.Before(began.Add(2 * time.Second)); now = now.Add(step) {
+	s := newSource(false, returnHalf)
+	queries := 0
+	o := twsource.Observation{FreshAt: start}
+	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(step) {
 		if s.Asks(now, o) {
-			asks++
+			queries++
 		}
 	}
-	g.Expect(asks).To(BeNumerically("~", 9, 2))
+	g.Expect(queries).To(BeNumerically("~", 9, 2))
 	o.LeaderLive = true
-	g.Expect(s.Asks(began.Add(time.Hour), o)).To(BeFalse())
+	g.Expect(s.Asks(start.Add(time.Hour), o)).To(BeFalse())
 }
