--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -13,37 +13,38 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twboottime"
 )
 
-// maxAge is the bound on a proof, which is also the time within which a removed key must be refused.
+// maxAge is the limit on a proof's age, and so the time within which a removed key must be refused.
 const maxAge = 3 * time.Second
 
-// message is a heartbeat under way.
+// message is a heartbeat in transit.
 type message struct {
 	version   int64
 	ageMillis int64
 	echo      turmericwall.Echo
 }
 
-// daemon is one daemon's plan and proof.
+// daemon is one daemon with its version of the plan and its proof.
 type daemon struct {
 	proof   *twproof.Proof
 	name    string
 	version int64
-	// echoed is the last moment that the leader has from this daemon, by the leader's index.
-	echoed map[int]turmericwall.Echo
-	// inbox holds heartbeats that are not read yet: the daemon may be suspended or cut off.
+	// echoes are the last times of this daemon that each leader received, by the leader's index.
+	echoes map[int]turmericwall.Echo
+	// inbox holds heartbeats that are not read yet: the daemon may be suspended or partitioned.
 	inbox []message
-	// readFrom and reading are the read of the store that is under way.
-	reading  bool
-	readFrom twboottime.Moment
-	answer   int64
+	// reading is set while a read of the store is under way; it was sent at readSentAt and returns the version
+	// readVersion.
+	reading     bool
+	readSentAt  twboottime.Moment
+	readVersion int64
 }
 
-// model is a store, some daemons and a leader, in virtual time.
+// model simulates a store, some daemons and a leader in virtual time.
 type model struct {
 	now     twboottime.Moment
 	daemons []*daemon
 	leader  int
-	// version is the plan at the store. The key is removed by version 2, acknowledged at removedAt.
+	// version is the plan in the store. Version 2 removes the key; it is acknowledged at removedAt.
 	version   int64
 	removedAt twboottime.Moment
 }
@@ -52,7 +53,7 @@
 	m := &model{now: at(10_000), version: 1}
 	for i := range daemons {
 		name := fmt.Sprint("i-", i)
-		d := &daemon{name: name, version: 1, echoed: make(map[int]turmericwall.Echo)}
+		d := &daemon{name: name, version: 1, echoes: make(map[int]turmericwall.Echo)}
 		d.proof = twproof.New(twproof.Config{Incarnation: name, MaxAge: maxAge, Current: maxAge})
 		d.proof.Confirm(m.now)
 		m.daemons = append(m.daemons, d)
@@ -60,33 +61,34 @@
 	return m
 }
 
-// beginRead has the leader ask the store; the answer is what the store has then or later.
+// beginRead sends the leader's read to the store, which answers with the version of that time.
 func (m *model) beginRead() {
 	d := m.daemons[m.leader]
 	if !d.reading {
-		d.reading, d.readFrom, d.answer = true, m.now, m.version
+		d.reading, d.readSentAt, d.readVersion = true, m.now, m.version
 	}
 }
 
+// endRead delivers the answer to a daemon's read.
 func (m *model) endRead(i int) {
 	d := m.daemons[i]
 	if !d.reading {
 		return
 	}
 	d.reading = false
-	d.version = max(d.version, d.answer)
-	d.proof.Confirm(d.readFrom)
+	d.version = max(d.version, d.readVersion)
+	d.proof.Confirm(d.readSentAt)
 }
 
-// send writes a heartbeat to a follower: the age is taken before the version.
+// send puts a heartbeat into a follower's inbox. The age is taken before the version.
 func (m *model) send(to int) {
 	leader, d := m.daemons[m.leader], m.daemons[to]
 	if to != m.leader && len(d.inbox) < 2 {
-		d.inbox = append(d.inbox, message{ageMillis: leader.proof.AgeMillis(m.now), version: leader.version, echo: d.echoed[m.leader]})
+		d.inbox = append(d.inbox, message{ageMillis: leader.proof.AgeMillis(m.now), version: leader.version, echo: d.echoes[m.leader]})
 	}
 }
 
-// deliver has a follower read its oldest heartbeat, and its reply reach the leader.
+// deliver makes a follower read its oldest heartbeat, and the leader receive the reply.
 func (m *model) deliver(to int) {
 	d := m.daemons[to]
 	if len(d.inbox) == 0 {
@@ -97,10 +99,10 @@
 	if got.version <= d.version {
 		d.proof.ConfirmEcho(m.now, got.echo, got.ageMillis)
 	}
-	d.echoed[m.leader] = turmericwall.Echo{Incarnation: d.name, Moment: int64(m.now)}
+	d.echoes[m.leader] = turmericwall.Echo{Incarnation: d.name, Moment: int64(m.now)}
 }
 
-// fetch has a follower that lacks a version ask the leader for it.
+// fetch makes a follower with an older version fetch the plan from the leader.
 func (m *model) fetch(i int) {
 	leader, d := m.daemons[m.leader], m.daemons[i]
 	age := leader.proof.AgeMillis(m.now)
@@ -108,14 +110,15 @@
 	d.proof.ConfirmAged(m.now, age)
 }
 
+// remove removes the key by version 2 of the plan.
 func (m *model) remove() {
 	if m.version == 1 {
 		m.version, m.removedAt = 2, m.now
 	}
 }
 
-// broken names a daemon that admits the removed key after its bound.
-func (m *model) broken() (int, bool) {
+// findViolation returns the index of a daemon that admits the removed key after maxAge.
+func (m *model) findViolation() (int, bool) {
 	if m.version == 1 || m.now.Sub(m.removedAt) < maxAge {
 		return 0, false
 	}
@@ -127,7 +130,7 @@
 	return 0, false
 }
 
-// events are all that can happen in the small model.
+// events returns all events of the small model.
 func (m *model) events() []func() {
 	list := []func(){
 		func() { m.now = m.now.Add(time.Second) },
@@ -140,9 +143,9 @@
 	return list
 }
 
-// Guards against a removed key that is admitted after its bound, in every order of reads, heartbeats that lie unread,
-// changes of the leader and the removal.
-func TestNoOrderOfEventsAdmitsARemovedKeyAfterItsBound(t *testing.T) {
+// Guards against a removed key that is admitted after maxAge, in every order of reads, late heartbeats, changes of
+// the leader and the removal.
+func TestRemovedKeyIsRefusedInEveryOrderOfEvents(t *testing.T) {
 	const depth = 6
 	count := len(newModel(3).events())
 	sequence := make([]int, depth)
@@ -159,34 +162,35 @@
 		for _, e := range sequence {
 			events[e]()
 		}
-		// However the sequence ended, time goes on with all that is under way delivered late.
+		// Time continues after each sequence, and all that is under way is delivered late.
 		for range 4 {
 			m.now = m.now.Add(time.Second)
 			for i := range m.daemons {
 				m.endRead(i)
 				m.deliver(i)
 			}
-			if i, found := m.broken(); found {
-				t.Fatalf("daemon %d admits the removed key after its bound: events %v", i, sequence)
+			if i, found := m.findViolation(); found {
+				t.Fatalf("daemon %d admits the removed key after maxAge: events %v", i, sequence)
 			}
 		}
 	}
 	t.Logf("%d sequences of %d events", total, depth)
 }
 
-// Guards against the same in long random courses of many daemons, and against refusals while heartbeats come through.
-func TestManyDaemonsAdmitKeysWhileTheyHaveAWayAndNoLonger(t *testing.T) {
+// Guards against the same in long random runs of many daemons, and against refusals while heartbeats arrive.
+func TestManyDaemonsAdmitKeysOnlyWhileHeartbeatsArrive(t *testing.T) {
 	for _, count := range []int{10, 82, 1000} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("daemons=%d seed=%d", count, seed), func(t *testing.T) {
 				g := NewWithT(t)
 				random := rand.New(rand.NewPCG(seed, 11))
 				m := newModel(count)
-				cutUntil := make([]twboottime.Moment, count)
-				clearSince := make([]twboottime.Moment, count)
-				storeAway := false
-				// leaderSince is when a leader last had an old proof, or another one became the leader.
-				var leaderSince twboottime.Moment
+				partitionedUntil := make([]twboottime.Moment, count)
+				connectedSince := make([]twboottime.Moment, count)
+				storeUnavailable := false
+				// leaderCurrentSince is when a leader last had a proof older than 1.5 s, or when the leader last
+				// changed.
+				var leaderCurrentSince twboottime.Moment
 				for tick := range 400 {
 					m.now = m.now.Add(50 * time.Millisecond)
 					switch {
@@ -195,21 +199,21 @@
 					case tick%40 == 39:
 						m.leader = random.IntN(count)
 					case tick%30 == 29:
-						storeAway = !storeAway
+						storeUnavailable = !storeUnavailable
 					}
-					if !storeAway {
+					if !storeUnavailable {
 						m.endRead(m.leader)
 						m.beginRead()
 					}
 					if tick%40 == 39 || m.daemons[m.leader].proof.AgeMillis(m.now) > 1500 {
-						leaderSince = m.now
+						leaderCurrentSince = m.now
 					}
 					for i, d := range m.daemons {
 						if random.IntN(400) == 0 {
-							cutUntil[i] = m.now.Add(time.Duration(random.IntN(5000)) * time.Millisecond)
+							partitionedUntil[i] = m.now.Add(time.Duration(random.IntN(5000)) * time.Millisecond)
 						}
-						if m.now < cutUntil[i] || m.now < cutUntil[m.leader] {
-							clearSince[i] = m.now
+						if m.now < partitionedUntil[i] || m.now < partitionedUntil[m.leader] {
+							connectedSince[i] = m.now
 							continue
 						}
 						if tick%5 == i%5 {
@@ -219,11 +223,11 @@
 						if d.version < m.daemons[m.leader].version {
 							m.fetch(i)
 						}
-						if m.now.Sub(max(clearSince[i], leaderSince)) > time.Second {
+						if m.now.Sub(max(connectedSince[i], leaderCurrentSince)) > time.Second {
 							g.Expect(d.proof.Admits(m.now)).To(BeTrue(), "daemon %d refuses at tick %d", i, tick)
 						}
 					}
-					_, found := m.broken()
+					_, found := m.findViolation()
 					g.Expect(found).To(BeFalse(), "tick %d", tick)
 				}
 			})
--- a/internal/membership/twproof/proof.go
+++ b/internal/membership/twproof/proof.go
@@ -1,7 +1,8 @@
-// Package twproof tracks the moment up to which a daemon's copy of the plan is known to be current.
+// Package twproof tracks the time up to which a daemon's copy of the plan is known to be current. The authenticator
+// consults it before it admits or refuses a caller's key.
 //
-// It has no clock, socket or goroutine. Times are by the clock that goes on while a VM is suspended: by the steady clock a
-// daemon that was suspended would take its knowledge for newer than it is, and admit keys that are long removed.
+// It has no clock and does no I/O. Times are by the clock that also runs while a VM is suspended: by the monotonic
+// clock a daemon that was suspended would take its state for newer than it is, and admit keys that have been removed.
 package twproof
 
 import (
@@ -12,21 +13,22 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twboottime"
 )
 
-// maxAgeMillis bounds the age that a peer may report, at one day. A larger one could overflow and turn an old proof into a
-// new one.
+// maxAgeMillis limits the age that a peer may report to one day. A larger age could overflow and make an old proof
+// look new.
 const maxAgeMillis = 24 * 60 * 60 * 1000
 
-// Config bounds how old a proof may be.
+// Config holds the limits on a proof's age.
 type Config struct {
-	// Incarnation names this daemon's process in the echoes that it takes.
+	// Incarnation identifies this daemon's process in the echoes that it accepts.
 	Incarnation string
-	// MaxAge is the age from which calls with keys are refused; 0 sets no bound.
+	// MaxAge is the age from which calls with keys are refused; 0 means no limit.
 	MaxAge time.Duration
-	// Current is the age up to which a key that the plan doesn't hold is certainly unknown.
+	// Current is the age below which a key that is not in the plan is certainly unknown.
 	Current time.Duration
 }
 
-// Proof is what one daemon knows. All changes that were acknowledged before its moment are in the daemon's plan.
+// Proof is one daemon's proof: all changes that were acknowledged before its time are in the daemon's plan. It is
+// safe for concurrent use.
 type Proof struct {
 	config Config
 	mu     sync.Mutex
@@ -34,11 +36,11 @@
 	known  bool
 }
 
-// New returns a proof of nothing.
+// New returns a proof that confirms nothing.
 func New(config Config) *Proof { return &Proof{config: config} }
 
-// Confirm records that the daemon's plan holds all changes that were acknowledged before the moment. An older moment than
-// the one on record is ignored.
+// Confirm records that the daemon's plan holds all changes that were acknowledged before the given time. A time
+// before the recorded one is ignored.
 func (p *Proof) Confirm(at twboottime.Moment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,25 +50,25 @@
 	}
 }
 
-// ConfirmAged records a peer's proof, which had the age when the peer answered a request sent at askedAt. A negative age
-// means that the peer has no proof.
-func (p *Proof) ConfirmAged(askedAt twboottime.Moment, ageMillis int64) {
+// ConfirmAged records a peer's proof, which had the given age when the peer replied to a request sent at sentAt. A
+// negative age means that the peer has no proof.
+func (p *Proof) ConfirmAged(sentAt twboottime.Moment, ageMillis int64) {
 	if ageMillis >= 0 && ageMillis <= maxAgeMillis {
-		p.Confirm(askedAt.Add(-time.Duration(ageMillis) * time.Millisecond))
+		p.Confirm(sentAt.Add(-time.Duration(ageMillis) * time.Millisecond))
 	}
 }
 
-// ConfirmEcho records the proof in a heartbeat whose sender had received the echoed moment from this daemon before.
+// ConfirmEcho records the proof in a heartbeat whose sender had received the echoed time from this daemon before.
 //
-// A heartbeat can stay unread in a socket for seconds, while its receiver is suspended or a link is cut. Dated by its
-// arrival, the proof would look new; dated by the echoed moment, it is never newer than it was when it was written.
+// A heartbeat can stay unread in a socket for seconds, while its receiver is suspended or a link is down. Dated by
+// its arrival, the proof would look new; dated by the echoed time, it is never newer than when it was written.
 func (p *Proof) ConfirmEcho(now twboottime.Moment, echo turmericwall.Echo, ageMillis int64) {
 	if echo.Incarnation == p.config.Incarnation && twboottime.Moment(echo.Moment) <= now {
 		p.ConfirmAged(twboottime.Moment(echo.Moment), ageMillis)
 	}
 }
 
-// AgeMillis is the proof's age in whole milliseconds, rounded up, or -1 when there is none.
+// AgeMillis returns the proof's age in milliseconds, rounded up, or -1 when there is none.
 func (p *Proof) AgeMillis(now twboottime.Moment) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,7 +78,8 @@
 	return int64((now.Sub(p.at) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Admits tells that a key which the plan holds may be used: its removal would be known in time.
+// Admits reports whether a key in the plan may be used: had it been removed longer than MaxAge ago, this daemon would
+// know.
 func (p *Proof) Admits(now twboottime.Moment) bool {
 	if p.config.MaxAge <= 0 {
 		return true
@@ -86,16 +89,17 @@
 	return p.known && now.Sub(p.at) < p.config.MaxAge
 }
 
-// Denies tells that a key which the plan doesn't hold is in none that must be in force.
+// Denies reports whether a key that is not in the plan may be refused as unknown: no plan that must be in force by
+// now holds it.
 func (p *Proof) Denies(now twboottime.Moment) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.known && now.Sub(p.at) < p.config.Current
 }
 
-// Covers tells that the plan holds all changes that were acknowledged before the moment.
-func (p *Proof) Covers(moment twboottime.Moment) bool {
+// Covers reports whether the plan holds all changes that were acknowledged before the given time.
+func (p *Proof) Covers(at twboottime.Moment) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known && p.at >= moment
+	return p.known && p.at >= at
 }
--- a/internal/membership/twproof/proof_test.go
+++ b/internal/membership/twproof/proof_test.go
@@ -20,15 +20,15 @@
 	return twproof.New(twproof.Config{Incarnation: "i-1", MaxAge: 3 * time.Second, Current: 2 * time.Second})
 }
 
-func TestAgesOfAProof(t *testing.T) {
+func TestProofLimitsAtEachAge(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
 	g.Expect(p.AgeMillis(at(50))).To(BeEquivalentTo(-1))
-	g.Expect(p.Admits(at(50))).To(BeFalse(), "nothing is known at the start")
+	g.Expect(p.Admits(at(50))).To(BeFalse(), "nothing is confirmed at the start")
 	g.Expect(p.Denies(at(50))).To(BeFalse())
 	p.Confirm(at(1000))
 	p.Confirm(at(400))
-	g.Expect(p.AgeMillis(at(1300))).To(BeEquivalentTo(300), "an older confirmation takes nothing back")
+	g.Expect(p.AgeMillis(at(1300))).To(BeEquivalentTo(300), "an older confirmation changes nothing")
 	g.Expect(p.Covers(at(1000))).To(BeTrue())
 	g.Expect(p.Covers(at(1001))).To(BeFalse())
 	g.Expect(p.Denies(at(2999))).To(BeTrue())
@@ -37,20 +37,20 @@
 	g.Expect(p.Admits(at(4000))).To(BeFalse())
 }
 
-func TestWithoutABoundAnyKeyOfThePlanIsAdmitted(t *testing.T) {
+func TestWithoutMaxAgeEveryKeyOfThePlanIsAdmitted(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(twproof.New(twproof.Config{}).Admits(at(1))).To(BeTrue())
 }
 
-func TestAPeerWithoutAProofGivesNone(t *testing.T) {
+func TestPeerWithoutProofConfirmsNothing(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
 	p.ConfirmAged(at(1000), -1)
 	g.Expect(p.AgeMillis(at(1000))).To(BeEquivalentTo(-1))
 }
 
-// Guards against a heartbeat that lay in a socket for seconds and passes for new knowledge.
-func TestALateHeartbeatProvesNoMoreThanWhenItsEchoWasMade(t *testing.T) {
+// Guards against a heartbeat that stayed in a socket for seconds and counts as new.
+func TestLateHeartbeatIsDatedByItsEcho(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
 	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-1", Moment: int64(at(1000))}, 200)
@@ -58,8 +58,8 @@
 	g.Expect(p.Admits(at(9000))).To(BeFalse())
 }
 
-// Guards against a moment of an earlier process, or of a clock before a restart of the VM, taken for one of this process.
-func TestAnEchoOfAnotherIncarnationProvesNothing(t *testing.T) {
+// Guards against an echo from an earlier process, or from before a restart of the VM, that counts for this process.
+func TestEchoOfAnotherIncarnationConfirmsNothing(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
 	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-0", Moment: int64(at(8900))}, 0)
@@ -68,8 +68,8 @@
 	g.Expect(p.AgeMillis(at(9000))).To(BeEquivalentTo(-1))
 }
 
-// Guards against a peer's word whose age overflows and makes the proof newer than now.
-func TestAnAgeBeyondAllReasonProvesNothing(t *testing.T) {
+// Guards against an age reported by a peer that overflows and makes the proof newer than now.
+func TestOverlargeAgeConfirmsNothing(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
 	p.ConfirmAged(at(1000), math.MaxInt64)
