--- a/internal/membership/twupstreamfeed/follower.go
+++ b/internal/membership/twupstreamfeed/follower.go
@@ -50,14 +50,14 @@
 
 // Lost tells that the rows can't be read.
 func (f *Follower) Lost(err error) {
-	f.config.View.Lost()
+	f.config.View.MarkUnavailable()
 	f.config.Recorder.Record(turmericwall.EventStoreUnavailable).Str("table", "upstreams").
 		Int("version", f.config.View.Version()).Err(err).Send()
 }
 
 // Regained tells that the rows can be read again.
 func (f *Follower) Regained(now, since time.Time) {
-	f.config.View.Regained(now, since)
+	f.config.View.MarkAvailable(now, since)
 	f.config.Recorder.Record(turmericwall.EventStoreRegained).Str("table", "upstreams").
 		Int("version", f.config.View.Version()).Send()
 }
--- a/internal/membership/twupstreams/view.go
+++ b/internal/membership/twupstreams/view.go
@@ -1,4 +1,5 @@
-// Package twupstreams keeps the view of the upstreams that registered themselves.
+// Package twupstreams holds this daemon's view of the upstreams that registered in the store. Routing and placement
+// read it for every call. The leader builds it from the registry's rows; the other daemons follow the leader's view.
 package twupstreams
 
 import (
@@ -9,47 +10,50 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// returnSpan is how long after the registry's return an entry may be missing before its upstream counts as
-// gone. Upstreams beat every 1.2 s and are back within about two seconds, by the registry's own promise.
-const returnSpan = 2 * time.Second
+// reregistrationSpan is how long after the registry has recovered an entry may be missing before its upstream counts
+// as removed. Upstreams send a heartbeat every 1.2 s and are registered again within two seconds, which the registry
+// guarantees.
+const reregistrationSpan = 2 * time.Second
 
-// announcedSpan is how long an announced end is remembered after the upstream is no longer known: its entry may lapse and
-// come back.
-const announcedSpan = 10 * time.Minute
+// announcementRetention is how long an announcement of leaving is kept after the upstream is no longer known: its
+// entry may lapse and be listed again.
+const announcementRetention = 10 * time.Minute
 
-// A position counts the registry's versions, and between two of them the drops of entries that did not come back.
+// positionsPerVersion is the number of positions of a view for each version of the registry. The positions between
+// two versions count removals of entries that stayed missing after an outage.
 //
-// A drop that took the registry's next version would hide the change that comes with it: followers would believe that
-// they know it already, and go on sending calls to an upstream that leaves. Drops leave the registry's versions free.
-const dropsPerVersion = 1 << 10
+// If such a removal took the registry's next version, it would hide the change that comes with that version:
+// followers would skip it as known, and continue to send calls to an upstream that leaves.
+const positionsPerVersion = 1 << 10
 
-// Config says what a view works with.
+// Config holds the settings of a view.
 type Config struct {
-	// LapseMillis is the shortest outage of the registry, in milliseconds, in which entries of living upstreams lapse.
+	// LapseMillis is the shortest outage of the registry, in milliseconds, in which entries of running upstreams
+	// lapse.
 	LapseMillis float64
 }
 
-// View is what this daemon knows of all upstreams. It has no clock of its own.
+// View is this daemon's view of all upstreams. It has no clock of its own and is safe for concurrent use.
 type View struct {
 	config   Config
 	mu       sync.RWMutex
 	entries  map[string]*entry
 	services map[string][]turmericwall.Upstream
-	// all lists all upstreams by id; nil after a change until it is asked for.
+	// all lists all upstreams by id; nil after a change until it is requested.
 	all []turmericwall.Upstream
-	// known is set by the first listing.
-	known bool
-	// away is set while the registry can't be read.
-	away bool
-	// trustedAt is when a missing entry counts as gone again.
-	trustedAt time.Time
-	position  int64
-	// changed are the newest changes, oldest first, for peers that follow this view.
-	changed []change
-	// base is the position after which all changes are kept.
-	base int64
-	// announced tells when incarnations announced their end in an answer. The registry's entries don't undo it: an upstream
-	// that leaves may write its last entry late, or never.
+	// listed is set by the first listing.
+	listed bool
+	// unavailable is set while the registry cannot be read.
+	unavailable bool
+	// removalsTrustedAt is when a missing entry counts as removed again.
+	removalsTrustedAt time.Time
+	position          int64
+	// changes are the newest changes, oldest first, for peers that follow this view.
+	changes []change
+	// historyStart is the position after which all changes are kept.
+	historyStart int64
+	// announced holds when incarnations announced in an answer that they leave. The registry's entries do not cancel
+	// it: an upstream that leaves may write its last entry late, or never.
 	announced map[turmericwall.UpstreamKey]time.Time
 }
 
@@ -59,96 +63,101 @@
 	id       string
 }
 
-// keptChanges is how many changes peers may be behind before they get the whole view: a release replaces some tens
-// of upstreams within a beat.
-const keptChanges = 128
+// maxChanges is how many changes a peer may be behind before it gets the whole view: a release replaces some tens of
+// upstreams within one heartbeat interval.
+const maxChanges = 128
 
+// entry is one upstream as listed by the registry or a peer.
 type entry struct {
 	upstream turmericwall.Upstream
-	// listedLeaving tells that the registry itself says that the upstream leaves.
+	// listedLeaving is set when the registry itself lists the upstream as leaving.
 	listedLeaving bool
 	// missing is set when the registry no longer has the entry but may have lost it in an outage.
 	missing bool
 }
 
-// New returns a view that knows no upstream.
+// New returns a view without upstreams.
 func New(config Config) *View {
-	return &View{config: config, entries: make(map[string]*entry), services: make(map[string][]turmericwall.Upstream), announced: make(map[turmericwall.UpstreamKey]time.Time)}
+	return &View{
+		config: config, entries: make(map[string]*entry), services: make(map[string][]turmericwall.Upstream),
+		announced: make(map[turmericwall.UpstreamKey]time.Time),
+	}
 }
 
-// Lost tells that the registry can't be read.
-func (v *View) Lost() {
+// MarkUnavailable records that the registry cannot be read.
+func (v *View) MarkUnavailable() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.away = true
+	v.unavailable = true
 }
 
-// Regained tells that the registry answers again; it was last read at the time since.
+// MarkAvailable records that the registry answers again; it was last read at lastReadAt.
 //
-// Entries lapse while the registry is away, though their upstreams live. Dropping them all at its return would
-// refuse every call for the two seconds in which upstreams register again. Missing entries are kept until then. After
-// a span in which no living upstream's entry can have lapsed, what is missing has left: kept as well, it got new calls
-// until 2.3 s after it had said so.
-func (v *View) Regained(now, since time.Time) {
+// Entries lapse while the registry is unavailable, though their upstreams run. If they were all removed when it
+// recovers, every call would be refused for the two seconds in which upstreams register again, so missing entries are
+// kept until then. After an outage too short for entries of running upstreams to lapse, a missing entry belongs to an
+// upstream that left; if it were kept as well, that upstream would get new calls until 2.3 s after it announced that
+// it leaves.
+func (v *View) MarkAvailable(now, lastReadAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.away {
+	if !v.unavailable {
 		return
 	}
-	v.away = false
-	if v.known && float64(now.Sub(since).Milliseconds()) >= v.config.LapseMillis {
-		v.trustedAt = now.Add(returnSpan)
+	v.unavailable = false
+	if v.listed && float64(now.Sub(lastReadAt).Milliseconds()) >= v.config.LapseMillis {
+		v.removalsTrustedAt = now.Add(reregistrationSpan)
 	}
 }
 
-// List replaces the whole view by a listing at the registry's version.
+// List replaces the whole view by a listing at the registry's version. A listing older than the view is ignored.
 func (v *View) List(now time.Time, version int64, upstreams []turmericwall.Upstream) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.known && version < v.position/dropsPerVersion {
+	if v.listed && version < v.position/positionsPerVersion {
 		return
 	}
-	v.position = max(v.position, version*dropsPerVersion)
-	v.known = true
-	v.changed = nil
-	v.base = v.position
+	v.position = max(v.position, version*positionsPerVersion)
+	v.listed = true
+	v.changes = nil
+	v.historyStart = v.position
 	seen := make(map[string]bool, len(upstreams))
 	for _, u := range upstreams {
 		seen[u.ID] = true
-		v.keep(u)
+		v.setEntry(u)
 	}
 	for id := range v.entries {
 		if !seen[id] {
-			v.remove(now, id)
+			v.removeEntry(now, id)
 		}
 	}
-	v.rebuild()
+	v.rebuildServices()
 }
 
-// Put takes one changed entry.
+// Put applies one changed entry of the registry's version.
 func (v *View) Put(version int64, upstream turmericwall.Upstream) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.note(version*dropsPerVersion, upstream.ID)
-	v.keep(upstream)
-	v.rebuild()
+	v.recordChange(version*positionsPerVersion, upstream.ID)
+	v.setEntry(upstream)
+	v.rebuildServices()
 }
 
-// Remove takes one removed entry, or one that can no longer be read.
+// Remove applies the removal of one entry, or an entry that cannot be decoded.
 func (v *View) Remove(now time.Time, version int64, id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.note(version*dropsPerVersion, id)
-	v.remove(now, id)
-	v.rebuild()
+	v.recordChange(version*positionsPerVersion, id)
+	v.removeEntry(now, id)
+	v.rebuildServices()
 }
 
-// Sweep drops the entries that are still missing when the registry's span of return is over.
+// Sweep removes the entries that are still missing after reregistrationSpan, and expired announcements.
 func (v *View) Sweep(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.forgetAnnounced(now)
-	if v.away || now.Before(v.trustedAt) {
+	v.expireAnnounced(now)
+	if v.unavailable || now.Before(v.removalsTrustedAt) {
 		return
 	}
 	var missing []string
@@ -160,24 +169,25 @@
 	if len(missing) == 0 {
 		return
 	}
-	// The registry's version is the same, and followers must hear of it.
+	// The registry's version stays the same, but followers must get the removals.
 	position := v.position + 1
 	for _, id := range missing {
 		delete(v.entries, id)
-		v.note(position, id)
+		v.recordChange(position, id)
 	}
-	v.rebuild()
+	v.rebuildServices()
 }
 
-// Since returns what changed after the position; ok is false when that is no longer known.
+// Since returns what changed after the position, and the view's position; ok is false when these changes are no
+// longer kept.
 func (v *View) Since(position int64) (put []turmericwall.Upstream, removed []string, now int64, ok bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	if position < v.base {
+	if position < v.historyStart {
 		return nil, nil, v.position, false
 	}
 	seen := make(map[string]bool)
-	for _, c := range v.changed {
+	for _, c := range v.changes {
 		if c.position <= position || seen[c.id] {
 			continue
 		}
@@ -191,7 +201,7 @@
 	return put, removed, v.position, true
 }
 
-// Follow takes the changes that a peer saw, which judged itself what is gone.
+// Follow applies changes of a peer's view. The peer has decided itself which upstreams are removed.
 func (v *View) Follow(position int64, put []turmericwall.Upstream, removed []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -199,58 +209,58 @@
 		return
 	}
 	for _, u := range put {
-		v.note(position, u.ID)
-		v.keep(u)
+		v.recordChange(position, u.ID)
+		v.setEntry(u)
 	}
 	for _, id := range removed {
-		v.note(position, id)
+		v.recordChange(position, id)
 		delete(v.entries, id)
 	}
 	v.position = position
-	v.rebuild()
+	v.rebuildServices()
 }
 
-// FollowAll takes the whole view of a peer, which judged itself what is gone.
+// FollowAll replaces the view by a peer's whole view. The peer has decided itself which upstreams are removed.
 func (v *View) FollowAll(position int64, upstreams []turmericwall.Upstream) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.known && position < v.position {
+	if v.listed && position < v.position {
 		return
 	}
 	v.position = position
-	v.base = position
-	v.known = true
-	v.changed = nil
+	v.historyStart = position
+	v.listed = true
+	v.changes = nil
 	v.entries = make(map[string]*entry, len(upstreams))
 	for _, u := range upstreams {
-		v.keep(u)
+		v.setEntry(u)
 	}
-	v.rebuild()
+	v.rebuildServices()
 }
 
-// Known tells that a listing was seen.
+// Known reports whether a listing was applied.
 func (v *View) Known() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.known
+	return v.listed
 }
 
-// Version is the registry's version that the view has reached.
+// Version returns the registry's version that the view has reached.
 func (v *View) Version() int64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.position / dropsPerVersion
+	return v.position / positionsPerVersion
 }
 
-// Position is how far the view has come: peers that follow it ask for what changed since.
+// Position returns the view's position: peers that follow the view request what changed after it.
 func (v *View) Position() int64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.position
 }
 
-// Announced notes that an incarnation announced its end in an answer, and takes it for leaving from now on; first tells that
-// this wasn't known. The position stays: followers count it by the registry's changes alone.
+// Announced records that an incarnation announced in an answer that it leaves, and marks it as leaving. first reports
+// whether this was not known. The position stays the same: followers count it by the registry's changes alone.
 func (v *View) Announced(now time.Time, key turmericwall.UpstreamKey) (first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -260,12 +270,13 @@
 	v.announced[key] = now
 	if e, ok := v.entries[key.ID]; ok && e.upstream.Key() == key && !e.upstream.Leaving {
 		e.upstream.Leaving = true
-		v.rebuild()
+		v.rebuildServices()
 	}
 	return true
 }
 
-// AllAnnounced are the known incarnations that announced their end in an answer and that the registry doesn't list as leaving.
+// AllAnnounced returns the known incarnations that announced in an answer that they leave and that the registry does
+// not list as leaving yet.
 func (v *View) AllAnnounced() []turmericwall.UpstreamKey {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -278,8 +289,8 @@
 	return list
 }
 
-// keep takes an entry; the lock is held.
-func (v *View) keep(u turmericwall.Upstream) {
+// setEntry stores an entry; the lock is held.
+func (v *View) setEntry(u turmericwall.Upstream) {
 	listed := u.Leaving
 	if _, announced := v.announced[u.Key()]; announced {
 		u.Leaving = true
@@ -287,29 +298,31 @@
 	v.entries[u.ID] = &entry{upstream: u, listedLeaving: listed}
 }
 
-// forgetAnnounced drops what is no longer known and announced its end long ago; the lock is held.
-func (v *View) forgetAnnounced(now time.Time) {
+// expireAnnounced removes announcements older than announcementRetention of incarnations that are no longer known;
+// the lock is held.
+func (v *View) expireAnnounced(now time.Time) {
 	for key, at := range v.announced {
-		if e, ok := v.entries[key.ID]; now.Sub(at) > announcedSpan && (!ok || e.upstream.Key() != key) {
+		if e, ok := v.entries[key.ID]; now.Sub(at) > announcementRetention && (!ok || e.upstream.Key() != key) {
 			delete(v.announced, key)
 		}
 	}
 }
 
-// Upstreams returns the service's upstreams, leaving ones included. The slice is shared and never changed.
+// Upstreams returns the service's upstreams, leaving ones included, ordered by id. The slice is shared; callers must
+// not change it.
 func (v *View) Upstreams(service string) []turmericwall.Upstream {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.services[service]
 }
 
-// All returns all upstreams, ordered by id. The slice is shared and never changed.
+// All returns all upstreams, ordered by id. The slice is shared; callers must not change it.
 func (v *View) All() []turmericwall.Upstream {
 	_, all := v.Whole()
 	return all
 }
 
-// Whole returns the position and all upstreams as of it, ordered by id. The slice is shared and never changed.
+// Whole returns the position and all upstreams at it, ordered by id. The slice is shared; callers must not change it.
 func (v *View) Whole() (position int64, all []turmericwall.Upstream) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -323,7 +336,7 @@
 	return v.position, v.all
 }
 
-// Takes tells that the incarnation is still known and takes new work.
+// Takes reports whether the incarnation is known and accepts new calls.
 func (v *View) Takes(key turmericwall.UpstreamKey) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -331,7 +344,7 @@
 	return ok && e.upstream.Key() == key && !e.upstream.Leaving
 }
 
-// Has tells that the incarnation is still known, leaving or not.
+// Has reports whether the incarnation is known, leaving or not.
 func (v *View) Has(key turmericwall.UpstreamKey) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -339,29 +352,31 @@
 	return ok && e.upstream.Key() == key
 }
 
-// note counts a change and keeps it for followers; the lock is held.
-func (v *View) note(position int64, id string) {
+// recordChange advances the position and keeps the change for followers; the lock is held.
+func (v *View) recordChange(position int64, id string) {
 	v.position = max(v.position, position)
-	v.changed = append(v.changed, change{position: position, id: id})
-	if len(v.changed) > keptChanges {
-		v.base = v.changed[0].position
-		v.changed = v.changed[1:]
+	v.changes = append(v.changes, change{position: position, id: id})
+	if len(v.changes) > maxChanges {
+		v.historyStart = v.changes[0].position
+		v.changes = v.changes[1:]
 	}
 }
 
-func (v *View) remove(now time.Time, id string) {
+// removeEntry removes an entry, or marks it as missing while removals are not trusted; the lock is held.
+func (v *View) removeEntry(now time.Time, id string) {
 	e, ok := v.entries[id]
 	if !ok {
 		return
 	}
-	if v.away || now.Before(v.trustedAt) {
+	if v.unavailable || now.Before(v.removalsTrustedAt) {
 		e.missing = true
 		return
 	}
 	delete(v.entries, id)
 }
 
-func (v *View) rebuild() {
+// rebuildServices builds the lists by service anew and discards the list of all; the lock is held.
+func (v *View) rebuildServices() {
 	v.all = nil
 	services := make(map[string][]turmericwall.Upstream, len(v.services))
 	for _, e := range v.entries {
--- a/internal/membership/twupstreams/view_test.go
+++ b/internal/membership/twupstreams/view_test.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-func TestRemovedUpstreamIsGoneAtOnce(t *testing.T) {
+func TestRemovedUpstreamIsNotListed(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	v.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
@@ -33,14 +33,14 @@
 	g.Expect(v.Takes(upstream("a", false).Key())).To(BeFalse())
 }
 
-// The store is away and all upstreams' entries lapse, though the upstreams live. At its return the list is empty for
-// up to two seconds. Callers must still be served meanwhile; what is missing after that is gone.
-func TestEntriesThatLapseInAnOutageAreKeptUntilTheyCanBeBack(t *testing.T) {
+// The store is unavailable and all upstreams' entries lapse, though the upstreams run. After the outage listings are
+// incomplete for up to two seconds. Calls must still be placed meanwhile; what is missing after that is removed.
+func TestEntriesMissingAfterOutageAreKeptUntilReregistration(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	v.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
-	v.Lost()
-	v.Regained(start, start.Add(-5*time.Second))
+	v.MarkUnavailable()
+	v.MarkAvailable(start, start.Add(-5*time.Second))
 	v.List(start, 9, nil)
 	v.Sweep(start.Add(1900 * time.Millisecond))
 	g.Expect(ids(v)).To(Equal([]string{"a", "b"}))
@@ -49,9 +49,9 @@
 	g.Expect(ids(v)).To(Equal([]string{"b"}))
 }
 
-// A lagging replica answers with an older list after a newer change. An upstream that was seen leaving must not be
-// taken for a live one again.
-func TestAnOlderListIsIgnored(t *testing.T) {
+// A lagging replica answers with an older listing after a newer change. An upstream that was listed as leaving must
+// not count as accepting calls again.
+func TestOlderListingIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	v.List(start, 5, []turmericwall.Upstream{upstream("a", false)})
@@ -61,30 +61,31 @@
 	g.Expect(v.Version()).To(BeEquivalentTo(8))
 }
 
-// An upstream restarts under its old id. Work that was placed on the incarnation before must not be sent to this one.
-func TestAnotherIncarnationDoesNotTakeOldWork(t *testing.T) {
+// An upstream restarts under its id. A call that was placed on its former incarnation must not be sent to the new
+// one.
+func TestNewIncarnationDoesNotAcceptCallsOfFormerOne(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	v.Put(1, upstream("a", false))
-	reborn := upstream("a", false)
-	reborn.StartedMillis = 6
-	v.Put(2, reborn)
+	restarted := upstream("a", false)
+	restarted.StartedMillis = 6
+	v.Put(2, restarted)
 	g.Expect(v.Takes(upstream("a", false).Key())).To(BeFalse())
-	g.Expect(v.Takes(reborn.Key())).To(BeTrue())
+	g.Expect(v.Takes(restarted.Key())).To(BeTrue())
 }
 
-func TestFollowersGetWhatChanged(t *testing.T) {
+func TestFollowersGetChanges(t *testing.T) {
 	g := NewWithT(t)
 	leader, follower := twupstreams.New(twupstreams.Config{LapseMillis: 1800}), twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	leader.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
-	listed := leader.Position()
-	_, _, _, ok := leader.Since(listed - 1)
-	g.Expect(ok).To(BeFalse(), "changes before the list are unknown")
-	follower.FollowAll(listed, leader.All())
+	listedPosition := leader.Position()
+	_, _, _, ok := leader.Since(listedPosition - 1)
+	g.Expect(ok).To(BeFalse(), "changes before the listing are not kept")
+	follower.FollowAll(listedPosition, leader.All())
 	leader.Put(7, upstream("a", true))
 	leader.Remove(start, 8, "b")
 	leader.Put(9, upstream("c", false))
-	put, removed, position, ok := leader.Since(listed)
+	put, removed, position, ok := leader.Since(listedPosition)
 	g.Expect([]any{put, removed, position, ok}).To(Equal([]any{[]turmericwall.Upstream{upstream("a", true), upstream("c", false)}, []string{"b"}, leader.Position(), true}))
 	follower.Follow(position, put, removed)
 	g.Expect(follower.All()).To(Equal(leader.All()))
@@ -98,14 +99,14 @@
 	g.Expect(ok).To(BeFalse(), "too far behind")
 }
 
-// The leader drops upstreams that did not come back after an outage, though nothing changed in the registry. Its
-// followers must hear of that as of any other change.
-func TestFollowersHearOfWhatWasDroppedAfterAnOutage(t *testing.T) {
+// The leader removes upstreams that were not registered again after an outage, though nothing changed in the
+// registry. Its followers must get that removal like any other change.
+func TestFollowersGetRemovalsAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	leader := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	leader.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
-	leader.Lost()
-	leader.Regained(start, start.Add(-5*time.Second))
+	leader.MarkUnavailable()
+	leader.MarkAvailable(start, start.Add(-5*time.Second))
 	leader.List(start, 6, []turmericwall.Upstream{upstream("a", false)})
 	before := leader.Position()
 	leader.Sweep(start.Add(3 * time.Second))
@@ -114,15 +115,15 @@
 	g.Expect(position).To(BeNumerically(">", before))
 }
 
-// The leader drops an upstream after an outage, and its followers hear of it. The registry's very next version says that
-// another upstream leaves. Followers must hear of that too; had the drop taken that version, they would send calls to
-// the leaving upstream until something else changes.
-func TestADropDoesNotHideTheNextChange(t *testing.T) {
+// The leader removes an upstream after an outage, and its followers apply it. The next version of the registry lists
+// another upstream as leaving. Followers must get that change; if the removal had taken its version, they would send
+// calls to the leaving upstream until the next change.
+func TestRemovalAfterOutageDoesNotHideNextChange(t *testing.T) {
 	g := NewWithT(t)
 	leader, follower := twupstreams.New(twupstreams.Config{LapseMillis: 1800}), twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	leader.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
-	leader.Lost()
-	leader.Regained(start, start.Add(-5*time.Second))
+	leader.MarkUnavailable()
+	leader.MarkAvailable(start, start.Add(-5*time.Second))
 	leader.List(start, 6, []turmericwall.Upstream{upstream("a", false)})
 	leader.Sweep(start.Add(3 * time.Second))
 	follower.FollowAll(leader.Position(), leader.All())
@@ -134,32 +135,32 @@
 	g.Expect(follower.Takes(upstream("a", false).Key())).To(BeFalse())
 }
 
-// Changes of the registry are silent for a second while an upstream's entry is removed, and then the history is gone.
-// The daemon lists all entries anew. No living upstream's entry lapses in a second, so the missing one has left; kept
-// like one that lapsed in an outage, it got calls for two more seconds, past the bound for leaving upstreams.
-func TestAnEntryThatIsMissingAfterAShortGapHasLeft(t *testing.T) {
+// No change of the registry arrives for a second, an upstream's entry is removed meanwhile, and the history is lost.
+// The daemon lists all entries again. An entry of a running upstream does not lapse within a second, so the missing
+// one has left; if it were kept as after an outage, it would get calls for two more seconds.
+func TestEntryMissingAfterShortOutageIsRemoved(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	v.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
-	v.Lost()
-	v.Regained(start, start.Add(-1200*time.Millisecond))
+	v.MarkUnavailable()
+	v.MarkAvailable(start, start.Add(-1200*time.Millisecond))
 	v.List(start, 9, []turmericwall.Upstream{upstream("a", false)})
 	g.Expect(ids(v)).To(Equal([]string{"a"}))
 }
 
-// Guards against a registry's older entry that undoes what an upstream announced in its answers.
-func TestAnAnnouncedEndIsNotUndoneByTheRegistry(t *testing.T) {
+// Guards against an older entry of the registry that cancels what an upstream announced in its answers.
+func TestAnnouncedLeavingIsNotCancelledByRegistry(t *testing.T) {
 	a := upstream("a", false)
 	for _, c := range []struct {
-		name string
-		then func(v *twupstreams.View)
+		name  string
+		apply func(v *twupstreams.View)
 	}{
-		{"nothing", func(*twupstreams.View) {}},
-		{"a list", func(v *twupstreams.View) { v.List(start, 6, []turmericwall.Upstream{a}) }},
+		{"no further change", func(*twupstreams.View) {}},
+		{"a listing", func(v *twupstreams.View) { v.List(start, 6, []turmericwall.Upstream{a}) }},
 		{"an entry", func(v *twupstreams.View) { v.Put(6, a) }},
 		{"a peer's changes", func(v *twupstreams.View) { v.Follow(v.Position()+1, []turmericwall.Upstream{a}, nil) }},
 		{"a peer's whole view", func(v *twupstreams.View) { v.FollowAll(v.Position()+1, []turmericwall.Upstream{a}) }},
-		{"an entry that lapsed and came back", func(v *twupstreams.View) {
+		{"an entry that lapsed and was listed again", func(v *twupstreams.View) {
 			v.Remove(start, 6, "a")
 			v.Sweep(start.Add(time.Minute))
 			v.Put(7, a)
@@ -171,9 +172,9 @@
 			v.List(start, 5, []turmericwall.Upstream{a, upstream("b", false)})
 			position := v.Position()
 			g.Expect(v.Announced(start, a.Key())).To(BeTrue())
-			g.Expect(v.Announced(start, a.Key())).To(BeFalse(), "told once")
-			g.Expect(v.Position()).To(Equal(position), "followers count changes by the registry's alone")
-			c.then(v)
+			g.Expect(v.Announced(start, a.Key())).To(BeFalse(), "only the first announcement counts")
+			g.Expect(v.Position()).To(Equal(position), "followers count only changes of the registry")
+			c.apply(v)
 			g.Expect(v.Takes(a.Key())).To(BeFalse())
 			g.Expect(v.Upstreams("s")[0].Leaving).To(BeTrue())
 			g.Expect(v.AllAnnounced()).To(Equal([]turmericwall.UpstreamKey{a.Key()}))
@@ -181,8 +182,8 @@
 	}
 }
 
-// Guards against heartbeats that repeat what the registry says of hundreds of leaving upstreams.
-func TestAnAnnouncementIsSharedOnlyWhileTheRegistryDoesNotHaveIt(t *testing.T) {
+// Guards against heartbeats that repeat what the registry already lists for hundreds of leaving upstreams.
+func TestAnnouncementIsSharedOnlyUntilRegistryListsIt(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	v.List(start, 5, []turmericwall.Upstream{upstream("a", false)})
@@ -192,7 +193,7 @@
 	g.Expect(v.AllAnnounced()).To(BeEmpty())
 }
 
-func TestAnUpstreamThatStartsAgainAnnouncedNothing(t *testing.T) {
+func TestRestartedUpstreamHasNoAnnouncement(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	a := upstream("a", false)
@@ -203,5 +204,5 @@
 	g.Expect(v.Takes(a.Key())).To(BeTrue())
 	g.Expect(v.AllAnnounced()).To(BeEmpty())
 	v.Sweep(start.Add(11 * time.Minute))
-	g.Expect(v.Announced(start, upstream("a", false).Key())).To(BeTrue(), "forgotten by then")
+	g.Expect(v.Announced(start, upstream("a", false).Key())).To(BeTrue(), "the announcement has expired")
 }
