--- a/internal/membership/twplanfeed/follower.go
+++ b/internal/membership/twplanfeed/follower.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// Lost tells that the row can't be read.
-func (f *Follower) Lost(err error) {
+// StoreUnavailable tells that the row can't be read.
+func (f *Follower) StoreUnavailable(err error) {
 	f.config.Recorder.Record(turmericwall.EventStoreUnavailable).Str("table", "plan").Err(err).Send()
 }
 
-// Regained tells that the row can be read again.
-func (f *Follower) Regained(time.Time, time.Time) {
+// StoreRegained tells that the row can be read again.
+func (f *Follower) StoreRegained(time.Time, time.Time) {
 	f.config.Recorder.Record(turmericwall.EventStoreRegained).Str("table", "plan").Send()
 }
--- a/internal/membership/twupstreamfeed/follower.go
+++ b/internal/membership/twupstreamfeed/follower.go
@@ -48,16 +48,16 @@
 	f.changed()
 }
 
-// Lost tells that the rows can't be read.
-func (f *Follower) Lost(err error) {
+// StoreUnavailable tells that the rows can't be read.
+func (f *Follower) StoreUnavailable(err error) {
 	f.config.View.MarkUnavailable()
 	f.config.Recorder.Record(turmericwall.EventStoreUnavailable).Str("table", "upstreams").
 		Int("version", f.config.View.Version()).Err(err).Send()
 }
 
-// Regained tells that the rows can be read again.
-func (f *Follower) Regained(now, since time.Time) {
-	f.config.View.MarkAvailable(now, since)
+// StoreRegained tells that the rows can be read again.
+func (f *Follower) StoreRegained(now, lastReadAt time.Time) {
+	f.config.View.MarkAvailable(now, lastReadAt)
 	f.config.Recorder.Record(turmericwall.EventStoreRegained).Str("table", "upstreams").
 		Int("version", f.config.View.Version()).Send()
 }
--- a/internal/membership/twwatch/watch.go
+++ b/internal/membership/twwatch/watch.go
@@ -1,4 +1,6 @@
-// Package twwatch follows one small table of the store through outages and lost history.
+// Package twwatch follows one small table of the store through outages and lost history. It lists all rows once and
+// then waits for changes; followers apply both. It stands beside a request's way: routes and upstreams come through
+// it.
 package twwatch
 
 import (
@@ -12,110 +14,113 @@
 )
 
 const (
-	// firstPause and maxPause bound the pause after a failed read; it doubles. Daemons must have a change within
-	// two seconds of the store's return, so the longest pause is well below.
-	firstPause = 150 * time.Millisecond
-	maxPause   = 900 * time.Millisecond
-	// leastWait keeps the reads of a slow store from following each other at once.
-	leastWait = 100 * time.Millisecond
-	// pausedLook is the pause between two looks at whether this daemon must read by itself again.
-	pausedLook = 100 * time.Millisecond
+	// minBackoff and maxBackoff limit the wait after a failed read; it doubles with each failure. Daemons must have a
+	// change within two seconds of the store's recovery, so the longest wait is well below that.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 900 * time.Millisecond
+	// minWait is the shortest wait for changes; it keeps reads of a slow store from following each other without a
+	// pause.
+	minWait = 100 * time.Millisecond
+	// pausedPollInterval is the time between two checks whether a paused watch has to read again.
+	pausedPollInterval = 100 * time.Millisecond
 )
 
-// Follower takes what a watch reads.
+// Follower applies what a watch reads.
 type Follower interface {
-	// Reset takes all rows of the table.
+	// Reset applies a listing of all rows.
 	Reset(now time.Time, snapshot turmericwall.Snapshot)
-	// Change takes changed rows in order.
+	// Change applies changed rows in order.
 	Change(now time.Time, snapshot turmericwall.Snapshot)
-	// Lost tells that the store can't be read.
-	Lost(err error)
-	// Regained tells that it can be read again; it was last read at the time since.
-	Regained(now, since time.Time)
+	// StoreUnavailable is called when a read fails after reads succeeded.
+	StoreUnavailable(err error)
+	// StoreRegained is called when a read succeeds again; the table was last read at lastReadAt.
+	StoreRegained(now, lastReadAt time.Time)
 }
 
-// Config says what to watch.
+// Config holds the table, its follower and the callbacks of a watch.
 type Config struct {
 	Feed     turmericwall.Feed
 	Table    string
 	Follower Follower
-	// Wait is how long one read waits for changes. A read that is silently cut off is noticed after it.
+	// Wait is how long one read waits for changes. A broken connection is noticed only after it.
 	Wait time.Duration
-	// Paused tells that another daemon reads the table for this one; nil never pauses.
+	// Paused reports whether another daemon reads the table for this one; nil means never.
 	Paused func() bool
-	// Known is the version up to which this daemon has all changes from others when its own reading begins; nil, or 0,
-	// lists all rows.
+	// Known returns the version up to which this daemon has all changes from peers when its own reading begins. If it
+	// is nil or returns 0, all rows are listed.
 	Known func() int64
-	// Noted takes the outcome of each read; it may be nil.
+	// Noted is called with the outcome of each read; it may be nil.
 	Noted func(err error)
-	// Confirmed is called after each read that told the table's whole state, with the moment before it; it may be nil.
-	Confirmed func(began twboottime.Moment)
-	// ReadElsewhere is when another daemon last read the table for this one; nil tells that none ever did.
+	// Confirmed is called after each read that brought the follower up to date with the whole table, with the time
+	// before that read; it may be nil.
+	Confirmed func(sentAt twboottime.Moment)
+	// ReadElsewhere returns when another daemon last read the table for this one; nil means never.
 	ReadElsewhere func() time.Time
 }
 
-// Watch follows one table.
+// Watch follows one table. Relist, ReadAt and Failing are safe for concurrent use with Run.
 type Watch struct {
 	config Config
-	after  int64
-	listed bool
-	lost   bool
-	pause  time.Duration
+	// after is the version up to which changes have been read.
+	after       int64
+	listed      bool
+	unavailable bool
+	backoff     time.Duration
 	// wait is how long the next read waits for changes.
 	wait time.Duration
-	// readAt is when the last answered read was begun. It keeps its steady clock: the time of day may jump by seconds,
-	// and a leader that is cut off from the store would seem to read it.
+	// readAt is when the last answered read was sent. It keeps its monotonic clock reading: the wall clock may jump
+	// by seconds, and a leader that is partitioned from the store would seem to read it.
 	readAt atomic.Pointer[time.Time]
-	// failing tells that the last read failed.
+	// failing is set while the last read failed.
 	failing atomic.Bool
-	// relist asks for a listing of all rows at the next read.
+	// relist requests a listing of all rows at the next read.
 	relist atomic.Bool
-	// paused tells that others read for this daemon.
+	// paused is set while peers read for this daemon.
 	paused bool
 }
 
 // New returns a watch that has read nothing.
-func New(config Config) *Watch { return &Watch{config: config, pause: firstPause, wait: config.Wait} }
+func New(config Config) *Watch { return &Watch{config: config, backoff: minBackoff, wait: config.Wait} }
 
 // Run follows the table until ctx ends.
 func (w *Watch) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if w.config.Paused != nil && w.config.Paused() {
-			// What changes meanwhile is learned elsewhere. An outage that this watch has seen is over: remembered until it
-			// reads again, it would pass for one of the whole time between.
+			// Peers send what changes meanwhile. An outage that this watch has seen ends here: kept until the next
+			// own read, it would seem to have lasted all the time between.
 			w.paused = true
 			w.listed = false
-			w.regain()
-			sleep(ctx, pausedLook)
+			w.endOutage()
+			sleep(ctx, pausedPollInterval)
 			continue
 		}
 		w.resume()
-		began, beganMoment := time.Now(), twboottime.Now()
-		whole, err := w.step(ctx)
-		if whole {
-			w.readAt.Store(&began)
+		sentAt, sentAtBootTime := time.Now(), twboottime.Now()
+		complete, err := w.readOnce(ctx)
+		if complete {
+			w.readAt.Store(&sentAt)
 			if w.config.Confirmed != nil {
-				w.config.Confirmed(beganMoment)
+				w.config.Confirmed(sentAtBootTime)
 			}
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		w.note(err)
+		w.recordResult(err)
 		if w.config.Noted != nil {
 			w.config.Noted(err)
 		}
-		if err != nil && !sleep(ctx, w.pause) {
+		if err != nil && !sleep(ctx, w.backoff) {
 			break
 		}
 	}
 	return ctx.Err()
 }
 
-// Relist has the next read list all rows.
+// Relist makes the next read list all rows.
 func (w *Watch) Relist() { w.relist.Store(true) }
 
-// resume goes on after a pause at the version that others have told.
+// resume continues after a pause from the version that peers have sent.
 func (w *Watch) resume() {
 	if w.relist.Swap(false) {
 		w.listed = false
@@ -135,7 +140,7 @@
 	}
 }
 
-// ReadAt is when the last answered read was begun; the zero time before the first.
+// ReadAt returns when the last answered read was sent; the zero time before the first one.
 func (w *Watch) ReadAt() time.Time {
 	if at := w.readAt.Load(); at != nil {
 		return *at
@@ -143,72 +148,75 @@
 	return time.Time{}
 }
 
-// Failing tells that the last read was not answered.
+// Failing reports whether the last read failed.
 func (w *Watch) Failing() bool { return w.failing.Load() }
 
-// step reads all rows, or the changes since; whole tells that the follower then has all that was in the table.
-func (w *Watch) step(ctx context.Context) (whole bool, err error) {
+// readOnce reads all rows, or the changes since the last read. complete reports whether the follower then has the
+// whole table.
+func (w *Watch) readOnce(ctx context.Context) (complete bool, err error) {
 	if !w.listed {
 		snapshot, err := w.config.Feed.Rows(ctx, w.config.Table)
 		if err != nil {
 			return false, err
 		}
-		w.regain()
-		// A replica that lags may answer with an older version; the position never goes back.
+		w.endOutage()
+		// A lagging replica may answer with an older version; the version never goes back.
 		w.after = max(w.after, snapshot.Version)
 		w.listed = true
 		w.config.Follower.Reset(time.Now(), snapshot)
 		return true, nil
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	snapshot, err := w.config.Feed.Changes(ctx, w.config.Table, w.after, w.wait)
 	if errors.Is(err, turmericwall.ErrHistoryLost) {
 		w.listed = false
 		return false, nil
 	}
 	if err != nil {
-		// What changed while the store was away may be gone from its history too; all rows are read again.
+		// The store may have dropped the changes of the outage from its history, so all rows are listed again.
 		w.listed = false
 		return false, err
 	}
-	w.regain()
+	w.endOutage()
 	w.after = max(w.after, snapshot.Version)
 	if len(snapshot.Rows) > 0 {
 		w.config.Follower.Change(time.Now(), snapshot)
 		return true, nil
 	}
-	w.adapt(time.Since(began) - w.wait)
+	w.adaptWait(time.Since(sentAt) - w.wait)
 	return true, nil
 }
 
-// adapt shortens the wait of the next read by what the store takes to answer, so that a read is over in the same time:
-// what the leader knows must not grow stale with a slow store.
-func (w *Watch) adapt(answer time.Duration) {
-	w.wait = max(w.config.Wait-max(answer, 0), leastWait)
+// adaptWait shortens the next read's wait by the time that the store takes to answer, so that a read takes the same
+// time in all: the leader's state must not become stale because the store is slow.
+func (w *Watch) adaptWait(answerTime time.Duration) {
+	w.wait = max(w.config.Wait-max(answerTime, 0), minWait)
 }
 
-func (w *Watch) note(err error) {
+// recordResult adapts the back-off to the outcome of a read, and reports the start of an outage to the follower.
+func (w *Watch) recordResult(err error) {
 	w.failing.Store(err != nil)
 	if err == nil {
-		w.pause = firstPause
+		w.backoff = minBackoff
 		return
 	}
-	w.pause = min(2*w.pause, maxPause)
-	if !w.lost {
-		w.lost = true
-		w.config.Follower.Lost(err)
+	w.backoff = min(2*w.backoff, maxBackoff)
+	if !w.unavailable {
+		w.unavailable = true
+		w.config.Follower.StoreUnavailable(err)
 	}
 }
 
-func (w *Watch) regain() {
-	if w.lost {
-		w.lost = false
-		w.config.Follower.Regained(time.Now(), w.lastRead())
+// endOutage reports the end of an outage to the follower.
+func (w *Watch) endOutage() {
+	if w.unavailable {
+		w.unavailable = false
+		w.config.Follower.StoreRegained(time.Now(), w.lastReadAt())
 	}
 }
 
-// lastRead is when the table was last read, by this watch or for it.
-func (w *Watch) lastRead() time.Time {
+// lastReadAt returns when the table was last read, by this watch or for it.
+func (w *Watch) lastReadAt() time.Time {
 	at := w.ReadAt()
 	if w.config.ReadElsewhere == nil {
 		return at
@@ -219,8 +227,9 @@
 	return at
 }
 
-func sleep(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(span)
+// sleep waits for the duration and reports whether ctx was still valid at its end.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/membership/twwatch/watch_test.go
+++ b/internal/membership/twwatch/watch_test.go
@@ -15,21 +15,22 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twboottime"
 )
 
+// feed is a store that returns its listings and changes in order; then listings fail and changes block.
 type feed struct {
 	mu      sync.Mutex
 	lists   []turmericwall.Snapshot
 	changes []any
 	afters  []int64
 	waits   []time.Duration
-	// slow is how much longer than its wait a read of changes takes.
-	slow time.Duration
+	// extraLatency is how much longer than its wait a read of changes takes.
+	extraLatency time.Duration
 }
 
 func (f *feed) Rows(context.Context, string) (turmericwall.Snapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.lists) == 0 {
-		return turmericwall.Snapshot{}, errors.New("away")
+		return turmericwall.Snapshot{}, errors.New("store unavailable")
 	}
 	next := f.lists[0]
 	f.lists = f.lists[1:]
@@ -40,9 +41,9 @@
 	f.mu.Lock()
 	f.afters = append(f.afters, after)
 	f.waits = append(f.waits, wait)
-	if f.slow > 0 {
+	if f.extraLatency > 0 {
 		f.mu.Unlock()
-		time.Sleep(wait + f.slow)
+		time.Sleep(wait + f.extraLatency)
 		f.mu.Lock()
 	}
 	if len(f.changes) == 0 {
@@ -59,78 +60,82 @@
 	return next.(turmericwall.Snapshot), nil
 }
 
+// follower records the calls that it gets, and the time of the last read before an outage ended.
 type follower struct {
-	mu    sync.Mutex
-	heard []string
-	since time.Time
+	mu         sync.Mutex
+	calls      []string
+	lastReadAt time.Time
 }
 
-func (f *follower) note(what string) {
+func (f *follower) record(what string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard = append(f.heard, what)
+	f.calls = append(f.calls, what)
 }
 
-func (f *follower) all() []string {
+func (f *follower) allCalls() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.heard...)
+	return append([]string(nil), f.calls...)
 }
 
-func (f *follower) Reset(time.Time, turmericwall.Snapshot)  { f.note("reset") }
-func (f *follower) Change(time.Time, turmericwall.Snapshot) { f.note("change") }
-func (f *follower) Lost(error)                              { f.note("lost") }
+func (f *follower) Reset(time.Time, turmericwall.Snapshot)  { f.record("reset") }
+func (f *follower) Change(time.Time, turmericwall.Snapshot) { f.record("change") }
+func (f *follower) StoreUnavailable(error)                  { f.record("unavailable") }
 
-func (f *follower) Regained(_, since time.Time) {
-	f.note("regained")
+func (f *follower) StoreRegained(_, lastReadAt time.Time) {
+	f.record("regained")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.since = since
+	f.lastReadAt = lastReadAt
 }
 
-func (f *follower) lastRead() time.Time {
+func (f *follower) observedLastRead() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.since
+	return f.lastReadAt
 }
 
 func run(t *testing.T, f *feed) *follower {
 	t.Helper()
-	follow := &follower{}
+	recorded := &follower{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- twwatch.New(twwatch.Config{Feed: f, Table: "t", Follower: follow, Wait: time.Second}).Run(ctx)
+		done <- twwatch.New(twwatch.Config{Feed: f, Table: "t", Follower: recorded, Wait: time.Second}).Run(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-done })
-	return follow
+	return recorded
 }
 
-func at(version int64, rows int) turmericwall.Snapshot {
+func snapshot(version int64, rows int) turmericwall.Snapshot {
 	return turmericwall.Snapshot{Version: version, Rows: make([]turmericwall.FeedRow, rows)}
 }
 
-func TestChangesFollowTheList(t *testing.T) {
+func TestChangesFollowListing(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(5, 2)}, changes: []any{at(6, 0), at(8, 1)}}
-	follow := run(t, f)
-	g.Eventually(follow.all).Should(Equal([]string{"reset", "change"}))
+	f := &feed{lists: []turmericwall.Snapshot{snapshot(5, 2)}, changes: []any{snapshot(6, 0), snapshot(8, 1)}}
+	recorded := run(t, f)
+	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "change"}))
 	g.Eventually(func() []int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.afters }).Should(Equal([]int64{5, 6, 8}))
 }
 
-// The store dropped its history while an upstream left: the change itself will never come. All rows must be read again
-// at once, or calls go on being sent to the upstream that left.
-func TestLostHistoryIsReadAnew(t *testing.T) {
+// The store dropped its history while an upstream left, so that change never arrives. All rows must be listed again
+// at once, or calls are still sent to the upstream that left.
+func TestLostHistoryCausesNewListing(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(5, 2), at(9, 1)}, changes: []any{turmericwall.ErrHistoryLost}}
-	follow := run(t, f)
-	g.Eventually(follow.all).Should(Equal([]string{"reset", "reset"}))
+	f := &feed{lists: []turmericwall.Snapshot{snapshot(5, 2), snapshot(9, 1)}, changes: []any{turmericwall.ErrHistoryLost}}
+	recorded := run(t, f)
+	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "reset"}))
 }
 
-// Guards against an answer that history was dropped which passes for a read of the table.
-func TestAnAnswerWithoutRowsConfirmsNothing(t *testing.T) {
+// Guards against an answer that the history was dropped which counts as a read of the table.
+func TestLostHistoryConfirmsNothing(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(5, 2)}, changes: []any{turmericwall.ErrHistoryLost, errors.New("reset")}}
+	f := &feed{
+		lists:   []turmericwall.Snapshot{snapshot(5, 2)},
+		changes: []any{turmericwall.ErrHistoryLost, errors.New("connection reset")},
+	}
 	var confirmed atomic.Int64
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -141,91 +146,101 @@
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
 	g.Eventually(w.Failing, "2s").Should(BeTrue())
-	g.Expect(confirmed.Load()).To(BeEquivalentTo(1), "only the list told the whole table")
+	g.Expect(confirmed.Load()).To(BeEquivalentTo(1), "only the listing brought the whole table")
 }
 
-// The store goes away and comes back. What changed meanwhile may be in no feed, so all rows are read again. A lagging
-// replica then answers with an older version; the position must not go back to it.
-func TestAnOutageEndsWithAllRows(t *testing.T) {
+// The store is unavailable and recovers. What changed meanwhile may be missing from its history, so all rows must be
+// listed again. A lagging replica then answers with an older version; the watch must not go back to it.
+func TestOutageEndsWithNewListing(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(5, 2)}, changes: []any{errors.New("reset")}}
-	follow := run(t, f)
-	g.Eventually(follow.all).Should(Equal([]string{"reset", "lost"}))
+	f := &feed{lists: []turmericwall.Snapshot{snapshot(5, 2)}, changes: []any{errors.New("connection reset")}}
+	recorded := run(t, f)
+	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "unavailable"}))
 	f.mu.Lock()
-	f.lists = append(f.lists, at(3, 2))
+	f.lists = append(f.lists, snapshot(3, 2))
 	f.mu.Unlock()
-	g.Eventually(follow.all, 3*time.Second).Should(Equal([]string{"reset", "lost", "regained", "reset"}))
+	g.Eventually(recorded.allCalls, 3*time.Second).Should(Equal([]string{"reset", "unavailable", "regained", "reset"}))
 	g.Eventually(func() []int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.afters }).Should(Equal([]int64{5, 5}))
 }
 
-// A daemon meets an outage of the store, and then its leader reads the store for it. Seconds later the leader falls
-// silent and the daemon reads for itself again. It must not take the whole time between for an outage: entries that were
-// removed meanwhile would be kept as if they had lapsed, and their upstreams would get calls after they left.
-func TestAnOutageIsOverWhenAnotherDaemonReads(t *testing.T) {
+// A daemon sees an outage of the store, and then its leader reads the store for it. When the daemon reads itself
+// again seconds later, the whole time between must not count as an outage: removed entries would be kept as if they
+// had lapsed, and their upstreams would get calls after they left.
+func TestOutageEndsWhenAnotherDaemonReads(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(5, 2)}, changes: []any{errors.New("reset")}}
+	f := &feed{lists: []turmericwall.Snapshot{snapshot(5, 2)}, changes: []any{errors.New("connection reset")}}
 	var paused atomic.Bool
 	readElsewhere := time.Now()
-	follow := &follower{}
+	recorded := &follower{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
 		done <- twwatch.New(twwatch.Config{
-			Feed: f, Table: "t", Follower: follow, Wait: time.Second, Paused: paused.Load,
+			Feed: f, Table: "t", Follower: recorded, Wait: time.Second, Paused: paused.Load,
 			ReadElsewhere: func() time.Time { return readElsewhere.Add(time.Minute) },
 		}).Run(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-done })
-	g.Eventually(follow.all).Should(Equal([]string{"reset", "lost"}))
+	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "unavailable"}))
 	paused.Store(true)
-	g.Eventually(follow.all, 3*time.Second).Should(Equal([]string{"reset", "lost", "regained"}))
-	g.Expect(follow.lastRead()).To(Equal(readElsewhere.Add(time.Minute)))
+	g.Eventually(recorded.allCalls, 3*time.Second).Should(Equal([]string{"reset", "unavailable", "regained"}))
+	g.Expect(recorded.observedLastRead()).To(Equal(readElsewhere.Add(time.Minute)))
 }
 
-// The store takes longer than usual for each answer. The next read waits less for changes, so that what is known of the
-// store grows no older: beyond a bound all daemons read the store themselves, which is slow enough already.
-func TestASlowStoreIsReadWithShorterWaits(t *testing.T) {
+// The store takes longer than usual for each answer. The next read must wait less for changes, so that the state gets
+// no older: if it became stale, all daemons would read the slow store themselves.
+func TestSlowStoreIsReadWithShorterWaits(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(5, 2)}, changes: []any{at(5, 0), at(5, 0)}, slow: 950 * time.Millisecond}
+	f := &feed{
+		lists:        []turmericwall.Snapshot{snapshot(5, 2)},
+		changes:      []any{snapshot(5, 0), snapshot(5, 0)},
+		extraLatency: 950 * time.Millisecond,
+	}
 	run(t, f)
 	waits := func() []time.Duration { f.mu.Lock(); defer f.mu.Unlock(); return f.waits }
 	g.Eventually(func() int { return len(waits()) }, 5*time.Second).Should(BeNumerically(">=", 2))
 	g.Expect(waits()[:2]).To(Equal([]time.Duration{time.Second, 100 * time.Millisecond}))
 }
 
-// A daemon that others read for lists the whole table whenever it begins to read by itself.
-func TestReadingGoesOnAtTheVersionThatOthersTold(t *testing.T) {
+// Guards against a daemon that lists the whole table whenever it begins to read itself, although peers have sent the
+// changes.
+func TestReadingContinuesFromVersionKnownFromPeers(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(9, 3)}, changes: []any{at(8, 1)}}
-	follow := &follower{}
-	var reads atomic.Bool
+	f := &feed{lists: []turmericwall.Snapshot{snapshot(9, 3)}, changes: []any{snapshot(8, 1)}}
+	recorded := &follower{}
+	var active atomic.Bool
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	noted := make(chan error, 100)
+	outcomes := make(chan error, 100)
 	w := twwatch.New(twwatch.Config{
-		Feed: f, Table: "t", Follower: follow, Wait: time.Second, Known: func() int64 { return 7 },
-		Paused: func() bool { return !reads.Load() }, Noted: func(err error) { noted <- err },
+		Feed: f, Table: "t", Follower: recorded, Wait: time.Second, Known: func() int64 { return 7 },
+		Paused: func() bool { return !active.Load() }, Noted: func(err error) { outcomes <- err },
 	})
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
-	g.Consistently(follow.all, "300ms").Should(BeEmpty())
-	reads.Store(true)
-	g.Eventually(follow.all).Should(Equal([]string{"change"}))
-	g.Eventually(noted).Should(Receive(BeNil()))
+	g.Consistently(recorded.allCalls, "300ms").Should(BeEmpty())
+	active.Store(true)
+	g.Eventually(recorded.allCalls).Should(Equal([]string{"change"}))
+	g.Eventually(outcomes).Should(Receive(BeNil()))
 	g.Eventually(func() []int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.afters }).Should(Equal([]int64{7, 8}))
 }
 
-// A standby that takes the lease keeps upstreams whose drops its former leader had still to judge.
+// Guards against a standby that takes the lease and keeps upstreams whose removal the former leader had not decided
+// yet.
 func TestRelistReadsAllRows(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{at(5, 2), at(6, 1)}, changes: []any{at(6, 0)}, slow: 10 * time.Millisecond}
-	follow := &follower{}
+	f := &feed{
+		lists:        []turmericwall.Snapshot{snapshot(5, 2), snapshot(6, 1)},
+		changes:      []any{snapshot(6, 0)},
+		extraLatency: 10 * time.Millisecond,
+	}
+	recorded := &follower{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	w := twwatch.New(twwatch.Config{Feed: f, Table: "t", Follower: follow, Wait: 100 * time.Millisecond})
+	w := twwatch.New(twwatch.Config{Feed: f, Table: "t", Follower: recorded, Wait: 100 * time.Millisecond})
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
-	g.Eventually(follow.all).Should(Equal([]string{"reset"}))
+	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset"}))
 	w.Relist()
-	g.Eventually(follow.all).Should(Equal([]string{"reset", "reset"}))
+	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "reset"}))
 }
