--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -247,7 +247,7 @@
 func (e *Exchange) merge(now time.Time, beats *twpeer.Heartbeats) {
 	e.roster.Merge(now, beats.GetBeats())
 	for _, b := range e.roster.Live(now) {
-		e.fleet.Hear(b.GetLeaving())
+		e.fleet.RecordPeerLeaving(b.GetLeaving())
 		if !e.known[b.GetIncarnation()] {
 			e.known[b.GetIncarnation()] = true
 			e.recorder.Record(turmericwall.EventPeerLive).Str("peer", b.GetIncarnation()).Str("address", b.GetAddress()).Send()
@@ -266,7 +266,7 @@
 	_ = e.dialer.Call(ctx, address, callTimeout, func(ctx context.Context, peer twpeer.PeerClient) error {
 		reply, err := peer.FetchVMs(ctx, &twpeer.FetchVMsRequest{})
 		if err == nil {
-			e.fleet.Offer(twpeer.DecodeVMs(reply))
+			e.fleet.ApplyPeerList(twpeer.DecodeVMs(reply))
 		}
 		return err
 	})
--- a/internal/membership/twfleet/fleet.go
+++ b/internal/membership/twfleet/fleet.go
@@ -1,4 +1,5 @@
-// Package twfleet keeps the view of the upstreams' VMs.
+// Package twfleet holds the view of the VMs of upstreams and daemons, as listed by the platform. Placement reads it
+// for every call, and the exchange of heartbeats reads the daemons' addresses from it.
 package twfleet
 
 import (
@@ -12,57 +13,61 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// DaemonService is the service under which the daemons' own VMs are listed; their address is the peer listener.
+// DaemonService is the service under which the platform lists the daemons' own VMs. Their addresses are those of the
+// peer listeners.
 const DaemonService = "turmericwall"
 
+// pollInterval is the time between two reads of the platform's list.
 const pollInterval = time.Second
 
-// Fleet implements turmericwall.Fleet.
+// Fleet implements turmericwall.Fleet. It is safe for concurrent use.
 //
-// The platform's list lags and can be down. While it is down the last list stays in use: an upstream
-// that left meanwhile refuses or fails its calls, which costs a retry and breaks no promise.
+// The platform's list lags and may be unavailable; the last list then stays in use. An upstream that left meanwhile
+// refuses or fails its calls, which costs a retry and violates no guarantee to callers.
 type Fleet struct {
 	lister   turmericwall.VMLister
 	clock    clockwork.Clock
 	recorder turmericwall.Recorder
 
-	mu      sync.RWMutex
-	known   bool
-	vms     map[string][]turmericwall.VM
+	mu    sync.RWMutex
+	known bool
+	vms   map[string][]turmericwall.VM
+	// leaving holds the names of the VMs that this daemon's own list marks as leaving.
 	leaving map[string]bool
-	heard   map[string]time.Time
+	// peerLeavingUntil holds until when peers' reports that a VM is leaving are valid, by the VM's name.
+	peerLeavingUntil map[string]time.Time
 }
 
-// heardFor is how long a peer's word that a VM is leaving holds here unless it is repeated.
-const heardFor = 10 * time.Second
+// peerLeavingTimeout is how long a peer's report that a VM is leaving holds unless it is repeated.
+const peerLeavingTimeout = 10 * time.Second
 
-// Config names what the fleet reads.
+// Config holds what the fleet reads and where it logs.
 type Config struct {
 	Lister   turmericwall.VMLister
 	Clock    clockwork.Clock
 	Recorder turmericwall.Recorder
 }
 
-// New returns an empty fleet.
+// New returns a fleet without VMs.
 func New(config Config) *Fleet {
 	return &Fleet{
-		lister:   config.Lister,
-		clock:    config.Clock,
-		recorder: config.Recorder,
-		vms:      make(map[string][]turmericwall.VM),
-		leaving:  make(map[string]bool),
-		heard:    make(map[string]time.Time),
+		lister:           config.Lister,
+		clock:            config.Clock,
+		recorder:         config.Recorder,
+		vms:              make(map[string][]turmericwall.VM),
+		leaving:          make(map[string]bool),
+		peerLeavingUntil: make(map[string]time.Time),
 	}
 }
 
-// Upstreams returns the service's VMs; one that this daemon or a peer knows to be leaving is marked.
+// Upstreams returns the service's VMs. A VM that this daemon or a peer lists as leaving is marked.
 func (f *Fleet) Upstreams(service string) []turmericwall.VM {
 	now := f.clock.Now()
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	upstreams := make([]turmericwall.VM, 0, len(f.vms[service]))
 	for _, vm := range f.vms[service] {
-		if now.Before(f.heard[vm.Name]) {
+		if now.Before(f.peerLeavingUntil[vm.Name]) {
 			vm.State = turmericwall.VMLeaving
 		}
 		upstreams = append(upstreams, vm)
@@ -70,14 +75,14 @@
 	return upstreams
 }
 
-// Known tells whether a list was read, here or by a peer.
+// Known reports whether a list was read, by this daemon or by a peer.
 func (f *Fleet) Known() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.known
 }
 
-// All returns the last list.
+// All returns the VMs of the last list, in no particular order.
 func (f *Fleet) All() []turmericwall.VM {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -88,14 +93,15 @@
 	return all
 }
 
-// Offer takes a peer's list in while this daemon could not read one itself.
-func (f *Fleet) Offer(list []turmericwall.VM) {
+// ApplyPeerList applies a peer's list while this daemon has none of its own.
+func (f *Fleet) ApplyPeerList(list []turmericwall.VM) {
 	if !f.Known() {
-		f.take(list)
+		f.applyList(list)
 	}
 }
 
-// Leaving returns the names that this daemon's own list marks as leaving, for its heartbeats.
+// Leaving returns the names of the VMs that this daemon's own list marks as leaving, in ascending order, for its
+// heartbeats.
 func (f *Fleet) Leaving() []string {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -107,18 +113,18 @@
 	return names
 }
 
-// Hear takes in what a peer's list marks as leaving: one daemon cut off from the platform still
-// stops giving work to a leaving upstream within a heartbeat or two.
-func (f *Fleet) Hear(leaving []string) {
-	deadline := f.clock.Now().Add(heardFor)
+// RecordPeerLeaving records which VMs a peer's list marks as leaving: a daemon that cannot reach the platform then
+// places no new calls on them within one or two heartbeats.
+func (f *Fleet) RecordPeerLeaving(leaving []string) {
+	validUntil := f.clock.Now().Add(peerLeavingTimeout)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range leaving {
-		f.heard[name] = deadline
+		f.peerLeavingUntil[name] = validUntil
 	}
 }
 
-// Run reads the list until ctx ends.
+// Run reads the list every second until ctx ends. Failed reads are logged.
 func (f *Fleet) Run(ctx context.Context) error {
 	ticker := f.clock.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -134,17 +140,18 @@
 	}
 }
 
-// Refresh reads the list once.
+// Refresh reads the list once. After an error the last list stays in use.
 func (f *Fleet) Refresh(ctx context.Context) error {
 	list, err := f.lister.List(ctx)
 	if err != nil {
 		return err
 	}
-	f.take(list)
+	f.applyList(list)
 	return nil
 }
 
-func (f *Fleet) take(list []turmericwall.VM) {
+// applyList replaces the VMs by a list.
+func (f *Fleet) applyList(list []turmericwall.VM) {
 	byService := make(map[string][]turmericwall.VM)
 	leaving := make(map[string]bool)
 	for _, vm := range list {
@@ -156,6 +163,7 @@
 	f.replace(byService, leaving)
 }
 
+// replace replaces the VMs, logs those newly leaving and removes expired reports of peers.
 func (f *Fleet) replace(vms map[string][]turmericwall.VM, leaving map[string]bool) {
 	now := f.clock.Now()
 	f.mu.Lock()
@@ -165,9 +173,9 @@
 			f.recorder.Record(turmericwall.EventVMLeaving).Str("vm", name).Send()
 		}
 	}
-	for name, deadline := range f.heard {
-		if now.After(deadline) {
-			delete(f.heard, name)
+	for name, validUntil := range f.peerLeavingUntil {
+		if now.After(validUntil) {
+			delete(f.peerLeavingUntil, name)
 		}
 	}
 	f.known, f.vms, f.leaving = true, vms, leaving
