--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -40,7 +40,7 @@
 	lost     chan string
 
 	mu       sync.Mutex
-	roster   *twroster.Roster
+	roster   *twroster.Tracker
 	draining bool
 	known    map[string]bool
 }
@@ -179,12 +179,12 @@
 func (e *Exchange) advance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.roster.Beat(e.clock.Now(), e.holder.Revision(), e.draining, e.fleet.Leaving())
+	e.roster.NextHeartbeats(e.clock.Now(), e.holder.Revision(), e.draining, e.fleet.Leaving())
 }
 
 func (e *Exchange) noteLost() {
 	e.mu.Lock()
-	lost := e.roster.Lost(e.clock.Now())
+	lost := e.roster.NewlyLost(e.clock.Now())
 	for _, incarnation := range lost {
 		delete(e.known, incarnation)
 	}
--- a/internal/membership/twroster/roster.go
+++ b/internal/membership/twroster/roster.go
@@ -1,4 +1,5 @@
-// Package twroster decides which daemons count as live, from their heartbeats alone.
+// Package twroster decides which daemons count as live, from the heartbeats that daemons exchange and pass on.
+// Leaders, leases and placements depend on its result.
 package twroster
 
 import (
@@ -10,84 +11,87 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twpeer"
 )
 
-// Timeouts of the failure detector; docs/design/membership.md has the figures behind them.
+// Timeouts of the failure detector; docs/design/membership.md gives the measurements behind them.
 const (
-	// lostAfter is how long a counter may stand still before its daemon counts as lost.
-	lostAfter = 4 * time.Second
-	// forgottenAfter bounds the roster.
-	forgottenAfter = 2 * time.Minute
+	// lostTimeout is how long a counter may stay unchanged before its daemon counts as lost.
+	lostTimeout = 4 * time.Second
+	// removalTimeout is how long a counter may stay unchanged before its daemon is removed; with maxMembers it limits
+	// the memory.
+	removalTimeout = 2 * time.Minute
 	maxMembers     = 1024
 )
 
-// Roster merges heartbeats. It has no clock or lock of its own: its caller passes the time.
+// Tracker tracks daemons by their heartbeats. It has no clock or lock of its own: its caller passes the time.
 //
-// Only the progress of a counter seen here is timed, so the clocks of two VMs are never compared.
-type Roster struct {
+// Only the progress of a counter as received here is timed, so the clocks of two VMs are never compared.
+type Tracker struct {
 	self    *twpeer.Heartbeat
 	members map[string]*member
 }
 
+// member is another daemon with its newest heartbeat.
 type member struct {
-	beat           *twpeer.Heartbeat
-	lostDeadline   time.Time
-	forgetDeadline time.Time
-	reportedLost   bool
+	heartbeat       *twpeer.Heartbeat
+	lostDeadline    time.Time
+	removalDeadline time.Time
+	reportedLost    bool
 }
 
-// New returns a roster of one daemon.
-func New(self *twpeer.Heartbeat) *Roster {
-	return &Roster{self: self, members: make(map[string]*member)}
+// New returns a tracker that knows only this daemon.
+func New(self *twpeer.Heartbeat) *Tracker {
+	return &Tracker{self: self, members: make(map[string]*member)}
 }
 
-// Beat advances the daemon's own counter and returns all heartbeats to send.
-func (r *Roster) Beat(now time.Time, revision int64, draining bool, leaving []string) *twpeer.Heartbeats {
-	r.self.Counter++
-	r.self.Revision = revision
-	r.self.Draining = draining
-	r.self.Leaving = leaving
-	return r.Snapshot(now)
+// NextHeartbeats advances this daemon's own counter, updates its own heartbeat and returns all heartbeats to send.
+func (t *Tracker) NextHeartbeats(now time.Time, revision int64, draining bool, leaving []string) *twpeer.Heartbeats {
+	t.self.Counter++
+	t.self.Revision = revision
+	t.self.Draining = draining
+	t.self.Leaving = leaving
+	return t.Snapshot(now)
 }
 
-// Snapshot returns all heartbeats of live daemons, its own first.
-func (r *Roster) Snapshot(now time.Time) *twpeer.Heartbeats {
-	own := proto.CloneOf(r.self)
-	beats := []*twpeer.Heartbeat{own}
-	for _, incarnation := range r.incarnations() {
-		m := r.members[incarnation]
+// Snapshot returns the heartbeats of this daemon, first, and of all live daemons in the order of their incarnations.
+func (t *Tracker) Snapshot(now time.Time) *twpeer.Heartbeats {
+	own := proto.CloneOf(t.self)
+	heartbeats := []*twpeer.Heartbeat{own}
+	for _, incarnation := range t.incarnations() {
+		m := t.members[incarnation]
 		if now.Before(m.lostDeadline) {
-			beats = append(beats, m.beat)
+			heartbeats = append(heartbeats, m.heartbeat)
 		}
 	}
-	return &twpeer.Heartbeats{Beats: beats}
+	return &twpeer.Heartbeats{Beats: heartbeats}
 }
 
-// Merge takes another daemon's heartbeats in; an older counter changes nothing.
-func (r *Roster) Merge(now time.Time, beats []*twpeer.Heartbeat) {
-	for _, b := range beats {
-		if b.GetIncarnation() == "" || b.GetIncarnation() == r.self.GetIncarnation() {
+// Merge applies heartbeats that another daemon sent. A heartbeat whose counter is not newer changes nothing.
+func (t *Tracker) Merge(now time.Time, heartbeats []*twpeer.Heartbeat) {
+	for _, b := range heartbeats {
+		if b.GetIncarnation() == "" || b.GetIncarnation() == t.self.GetIncarnation() {
 			continue
 		}
-		known, ok := r.members[b.GetIncarnation()]
-		if ok && known.beat.GetCounter() >= b.GetCounter() {
+		known, ok := t.members[b.GetIncarnation()]
+		if ok && known.heartbeat.GetCounter() >= b.GetCounter() {
 			continue
 		}
-		if !ok && len(r.members) >= maxMembers {
+		if !ok && len(t.members) >= maxMembers {
 			continue
 		}
-		r.members[b.GetIncarnation()] = &member{
-			beat:           b,
-			lostDeadline:   now.Add(lostAfter),
-			forgetDeadline: now.Add(forgottenAfter),
+		t.members[b.GetIncarnation()] = &member{
+			heartbeat:       b,
+			lostDeadline:    now.Add(lostTimeout),
+			removalDeadline: now.Add(removalTimeout),
 		}
 	}
 }
 
-// Lost returns the incarnations that became lost since the last call, and forgets old ones.
-func (r *Roster) Lost(now time.Time) []string {
+// NewlyLost returns the incarnations that became lost since the last call, in ascending order, and removes those that
+// have been lost for long.
+func (t *Tracker) NewlyLost(now time.Time) []string {
 	var lost []string
-	for incarnation, m := range r.members {
-		if now.After(m.forgetDeadline) {
-			delete(r.members, incarnation)
+	for incarnation, m := range t.members {
+		if now.After(m.removalDeadline) {
+			delete(t.members, incarnation)
 			continue
 		}
 		if !m.reportedLost && !now.Before(m.lostDeadline) {
@@ -99,29 +103,29 @@
 	return lost
 }
 
-// Live returns the live daemons' last heartbeats in the order of their incarnations, without its own.
-func (r *Roster) Live(now time.Time) []*twpeer.Heartbeat {
-	return r.Snapshot(now).GetBeats()[1:]
+// Live returns the last heartbeats of the live daemons in the order of their incarnations, without this daemon.
+func (t *Tracker) Live(now time.Time) []*twpeer.Heartbeat {
+	return t.Snapshot(now).GetBeats()[1:]
 }
 
-// IsLive tells whether the incarnation is this daemon or a live one.
-func (r *Roster) IsLive(now time.Time, incarnation string) bool {
-	if incarnation == r.self.GetIncarnation() {
+// IsLive reports whether the incarnation is this daemon or a live one.
+func (t *Tracker) IsLive(now time.Time, incarnation string) bool {
+	if incarnation == t.self.GetIncarnation() {
 		return true
 	}
-	m, ok := r.members[incarnation]
+	m, ok := t.members[incarnation]
 	return ok && now.Before(m.lostDeadline)
 }
 
-// Known tells whether the incarnation was heard of at all, live or lost.
-func (r *Roster) Known(incarnation string) bool {
-	_, ok := r.members[incarnation]
-	return ok || incarnation == r.self.GetIncarnation()
+// IsKnown reports whether a heartbeat of the incarnation was received, be it live or lost.
+func (t *Tracker) IsKnown(incarnation string) bool {
+	_, ok := t.members[incarnation]
+	return ok || incarnation == t.self.GetIncarnation()
 }
 
-func (r *Roster) incarnations() []string {
-	names := make([]string, 0, len(r.members))
-	for incarnation := range r.members {
+func (t *Tracker) incarnations() []string {
+	names := make([]string, 0, len(t.members))
+	for incarnation := range t.members {
 		names = append(names, incarnation)
 	}
 	sort.Strings(names)
--- a/internal/membership/twroster/roster_test.go
+++ b/internal/membership/twroster/roster_test.go
@@ -14,52 +14,53 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-func beat(incarnation string, counter uint64) *twpeer.Heartbeat {
+// heartbeat returns a heartbeat whose address is its incarnation.
+func heartbeat(incarnation string, counter uint64) *twpeer.Heartbeat {
 	return &twpeer.Heartbeat{Incarnation: incarnation, Address: incarnation, Counter: counter}
 }
 
-// A peer's counter stands still: it is frozen, dead or cut off. It counts as lost after the timeout, is
-// reported once, and is live again as soon as its counter moves. An old heartbeat that a third daemon
-// passes on late does not bring it back.
-func TestPeerThatStandsStillIsLost(t *testing.T) {
+// A peer's counter stays unchanged because it is suspended, terminated or partitioned. The peer must count as lost
+// after the timeout, be reported once, and count as live when its counter increases. An old heartbeat that a third
+// daemon passes on late must not make it live.
+func TestPeerWithUnchangedCounterIsLost(t *testing.T) {
 	g := NewWithT(t)
-	r := twroster.New(beat("self", 0))
-	r.Merge(start, []*twpeer.Heartbeat{beat("peer", 5)})
+	r := twroster.New(heartbeat("self", 0))
+	r.Merge(start, []*twpeer.Heartbeat{heartbeat("peer", 5)})
 	g.Expect(r.IsLive(start.Add(3*time.Second), "peer")).To(BeTrue())
 	late := start.Add(5 * time.Second)
-	r.Merge(late, []*twpeer.Heartbeat{beat("peer", 4), beat("peer", 5)})
+	r.Merge(late, []*twpeer.Heartbeat{heartbeat("peer", 4), heartbeat("peer", 5)})
 	g.Expect(r.IsLive(late, "peer")).To(BeFalse())
-	g.Expect(r.Lost(late)).To(Equal([]string{"peer"}))
-	g.Expect(r.Lost(late)).To(BeEmpty())
-	r.Merge(late, []*twpeer.Heartbeat{beat("peer", 6)})
+	g.Expect(r.NewlyLost(late)).To(Equal([]string{"peer"}))
+	g.Expect(r.NewlyLost(late)).To(BeEmpty())
+	r.Merge(late, []*twpeer.Heartbeat{heartbeat("peer", 6)})
 	g.Expect(r.IsLive(late, "peer")).To(BeTrue())
 }
 
-// A restarted daemon has a new incarnation: what the old one held is not taken for the new one's.
-func TestRestartIsAnotherDaemon(t *testing.T) {
+// A restarted daemon has a new incarnation, which must not inherit the former one's state.
+func TestRestartedDaemonIsAnotherMember(t *testing.T) {
 	g := NewWithT(t)
-	r := twroster.New(beat("self", 0))
-	r.Merge(start, []*twpeer.Heartbeat{beat("a:1", 900)})
+	r := twroster.New(heartbeat("self", 0))
+	r.Merge(start, []*twpeer.Heartbeat{heartbeat("a:1", 900)})
 	now := start.Add(5 * time.Second)
-	r.Merge(now, []*twpeer.Heartbeat{beat("a:2", 1)})
+	r.Merge(now, []*twpeer.Heartbeat{heartbeat("a:2", 1)})
 	g.Expect(r.IsLive(now, "a:1")).To(BeFalse())
 	g.Expect(r.IsLive(now, "a:2")).To(BeTrue())
 	g.Expect(r.Live(now)).To(HaveLen(1))
 }
 
-// BenchmarkExchange is one side's work for one exchange, with so many live daemons; it also gives the
-// message's size.
+// BenchmarkExchange measures the work of one side for one exchange with the given number of live daemons, and the
+// size of the message.
 func BenchmarkExchange(b *testing.B) {
 	for _, daemons := range []int{9, 54, 200} {
 		b.Run(fmt.Sprintf("daemons=%d", daemons), func(b *testing.B) {
-			r := twroster.New(beat("entry-000:dnaoay2lb73k", 0))
-			var beats []*twpeer.Heartbeat
+			r := twroster.New(heartbeat("entry-000:dnaoay2lb73k", 0))
+			var heartbeats []*twpeer.Heartbeat
 			for i := range daemons {
-				m := beat(fmt.Sprintf("entry-%03d:dnaoay2lb73k", i+1), 1)
+				m := heartbeat(fmt.Sprintf("entry-%03d:dnaoay2lb73k", i+1), 1)
 				m.Address, m.Zone, m.Revision = "10.20.30.40:8081", "zona-norte", 45_000
-				beats = append(beats, m)
+				heartbeats = append(heartbeats, m)
 			}
-			r.Merge(start, beats)
+			r.Merge(start, heartbeats)
 			encoded, err := proto.Marshal(r.Snapshot(start))
 			if err != nil {
 				b.Fatal(err)
@@ -70,7 +71,7 @@
 					b.Fatal(err)
 				}
 				r.Merge(start, received.GetBeats())
-				if _, err := proto.Marshal(r.Beat(start, 1, false, nil)); err != nil {
+				if _, err := proto.Marshal(r.NextHeartbeats(start, 1, false, nil)); err != nil {
 					b.Fatal(err)
 				}
 			}
