--- a/internal/membership/twseeker/seeker.go
+++ b/internal/membership/twseeker/seeker.go
@@ -1,4 +1,5 @@
-// Package twseeker finds the leader through peers while this daemon hears none.
+// Package twseeker finds the leader through peers while this daemon has no live leader. It stands beside a request's
+// way: until a leader is found, calls are placed locally.
 package twseeker
 
 import (
@@ -10,38 +11,39 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// step is the pause between two looks at whether a peer must be asked.
-const step = 50 * time.Millisecond
+// checkInterval is the time between two checks whether a peer has to be queried.
+const checkInterval = 50 * time.Millisecond
 
-// Config says whom a seeker may ask.
+// Config holds the peers that may be queried and the callbacks of a seeker.
 type Config struct {
-	// Self is this daemon's own address.
+	// Self is this daemon's own address, which is never queried.
 	Self string
-	// Due tells that a peer should be asked now.
+	// Due reports whether a peer has to be queried now.
 	Due func() bool
-	// Standbys, Seeds and Holder name peers that may know the leader: standbys of the last one heard, the addresses in the
-	// settings, and the lease's holder as last seen.
+	// Standbys, Seeds and Holder return the peers that may know the leader: the standbys in the last heartbeat, the
+	// addresses in the settings, and the lease's holder as last seen.
 	Standbys func() []turmericwall.Member
 	Seeds    func() []string
 	Holder   func() turmericwall.Member
-	// Learn fetches a peer's state and joins it; newer tells that it knew more than this daemon.
+	// Learn fetches a peer's state and announces this daemon to it. newer reports whether the peer had newer state
+	// than this daemon.
 	Learn func(ctx context.Context, address string) (leader turmericwall.Member, newer bool, err error)
-	// Asked takes whether a question was of use.
+	// Asked is called after each query. useful reports whether the query led to the leader or brought newer state.
 	Asked func(useful bool)
 }
 
-// Seeker asks one peer at a time.
+// Seeker queries one peer at a time.
 type Seeker struct {
 	config Config
-	turn   int
+	next   int
 }
 
-// New returns a seeker that begins with any of its peers, so that many daemons don't ask the same one.
-func New(config Config) *Seeker { return &Seeker{config: config, turn: rand.IntN(1 << 10)} }
+// New returns a seeker that starts with a random peer, so that many daemons do not all query the same one first.
+func New(config Config) *Seeker { return &Seeker{config: config, next: rand.IntN(1 << 10)} }
 
-// Run asks peers while that is due, until ctx ends.
+// Run queries peers whenever that is due, until ctx ends.
 func (s *Seeker) Run(ctx context.Context) error {
-	tick := time.NewTicker(step)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -50,19 +52,19 @@
 		case <-tick.C:
 		}
 		if s.config.Due() {
-			s.config.Asked(s.ask(ctx))
+			s.config.Asked(s.queryNext(ctx))
 		}
 	}
 }
 
-// ask asks the next peer, and the leader that it names; it tells whether that was of use.
-func (s *Seeker) ask(ctx context.Context) bool {
-	peers := s.peers()
+// queryNext queries the next peer, and the leader that it names. It reports whether that was useful.
+func (s *Seeker) queryNext(ctx context.Context) bool {
+	peers := s.candidates()
 	if len(peers) == 0 {
 		return false
 	}
-	s.turn++
-	peer := peers[s.turn%len(peers)]
+	s.next++
+	peer := peers[s.next%len(peers)]
 	leader, newer, err := s.config.Learn(ctx, peer)
 	switch {
 	case err != nil:
@@ -76,8 +78,8 @@
 	return err == nil
 }
 
-// peers are the addresses to ask, each once.
-func (s *Seeker) peers() []string {
+// candidates returns the addresses that may be queried, each once.
+func (s *Seeker) candidates() []string {
 	var list []string
 	add := func(address string) {
 		if address != "" && address != s.config.Self && !slices.Contains(list, address) {
--- a/internal/membership/twseeker/seeker_test.go
+++ b/internal/membership/twseeker/seeker_test.go
@@ -13,41 +13,41 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twseeker"
 )
 
-// peers plays the daemons that are asked.
+// peers simulates the daemons that are queried.
 type peers struct {
 	mu sync.Mutex
-	// leaders is whom each peer names; a peer without an entry does not answer.
+	// leaders holds the leader that each peer names; a peer without an entry does not answer.
 	leaders map[string]string
-	asked   map[string]int
+	queries map[string]int
 	useful  []bool
 }
 
-func (p *peers) learn(_ context.Context, address string) (turmericwall.Member, bool, error) {
+func (p *peers) fetchState(_ context.Context, address string) (turmericwall.Member, bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked[address]++
+	p.queries[address]++
 	leader, ok := p.leaders[address]
 	if !ok {
-		return turmericwall.Member{}, false, errors.New("no answer")
+		return turmericwall.Member{}, false, errors.New("no reply")
 	}
 	return turmericwall.Member{Address: leader}, false, nil
 }
 
-func (p *peers) note(useful bool) {
+func (p *peers) recordOutcome(useful bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.useful = append(p.useful, useful)
 }
 
-func (p *peers) count(address string) func() int {
+func (p *peers) countQueries(address string) func() int {
 	return func() int {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.asked[address]
+		return p.queries[address]
 	}
 }
 
-func (p *peers) last() []bool {
+func (p *peers) outcomes() []bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.useful
@@ -55,11 +55,11 @@
 
 func run(t *testing.T, p *peers, standbys []turmericwall.Member, seeds []string, holder string) {
 	t.Helper()
-	p.asked = make(map[string]int)
+	p.queries = make(map[string]int)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	s := twseeker.New(twseeker.Config{
-		Self: "self", Due: func() bool { return true }, Learn: p.learn, Asked: p.note,
+		Self: "self", Due: func() bool { return true }, Learn: p.fetchState, Asked: p.recordOutcome,
 		Standbys: func() []turmericwall.Member { return standbys },
 		Seeds:    func() []string { return seeds },
 		Holder:   func() turmericwall.Member { return turmericwall.Member{Address: holder} },
@@ -68,32 +68,32 @@
 	t.Cleanup(func() { stop(); <-ended })
 }
 
-// A starting daemon hears of the leader from a seed and never joins the leader itself.
-func TestTheLeaderThatASeedNamesIsAsked(t *testing.T) {
+// Guards against a starting daemon that gets the leader's address from a seed and never joins the leader.
+func TestLeaderNamedBySeedIsQueried(t *testing.T) {
 	g := NewWithT(t)
 	p := &peers{leaders: map[string]string{"seed": "leader", "leader": "leader"}}
 	run(t, p, nil, []string{"self", "seed"}, "")
-	g.Eventually(p.count("leader")).Should(BeNumerically(">", 0))
-	g.Expect(p.count("self")()).To(BeZero())
-	g.Expect(p.last()).NotTo(ContainElement(false))
+	g.Eventually(p.countQueries("leader")).Should(BeNumerically(">", 0))
+	g.Expect(p.countQueries("self")()).To(BeZero())
+	g.Expect(p.outcomes()).NotTo(ContainElement(false))
 }
 
-// The leader and one standby are gone; only they are asked.
-func TestAllPeersAreAskedInTurn(t *testing.T) {
+// The leader and one standby have terminated. The other peers must be queried too.
+func TestAllPeersAreQueriedInTurn(t *testing.T) {
 	g := NewWithT(t)
 	p := &peers{leaders: map[string]string{}}
 	run(t, p, []turmericwall.Member{{Address: "standby"}, {Address: "seed"}}, []string{"seed", "other"}, "holder")
 	for _, address := range []string{"standby", "seed", "other", "holder"} {
-		g.Eventually(p.count(address), 2*time.Second).Should(BeNumerically(">", 0), address)
+		g.Eventually(p.countQueries(address), 2*time.Second).Should(BeNumerically(">", 0), address)
 	}
-	g.Expect(p.last()).NotTo(ContainElement(true))
+	g.Expect(p.outcomes()).NotTo(ContainElement(true))
 }
 
-// A seed that knows no leader and nothing new counts as help, and nobody reads the store.
-func TestAPeerThatKnowsNothingIsOfNoUse(t *testing.T) {
+// Guards against a peer without a leader or newer state whose reply counts as useful: no daemon would read the store.
+func TestReplyWithoutLeaderOrNewerStateIsNotUseful(t *testing.T) {
 	g := NewWithT(t)
 	p := &peers{leaders: map[string]string{"seed": "", "other": "self"}}
 	run(t, p, nil, []string{"seed", "other"}, "")
-	g.Eventually(p.last).Should(HaveLen(4))
-	g.Expect(p.last()).NotTo(ContainElement(true))
+	g.Eventually(p.outcomes).Should(HaveLen(4))
+	g.Expect(p.outcomes()).NotTo(ContainElement(true))
 }
