--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -1,4 +1,5 @@
-// Package twexchange exchanges heartbeats with the other daemons.
+// Package twexchange exchanges heartbeats with the other daemons, and carries this daemon's requests to them: a
+// placement by the leader, the state of an attempt, the document and the list of VMs.
 package twexchange
 
 import (
@@ -18,16 +19,16 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twroster"
 )
 
-// How often heartbeats go out, and to how many peers. A small roster costs little and spreads fast;
-// a large one keeps within the bound of control traffic by one peer a beat.
+// A small number of peers costs little and spreads heartbeats fast. With more peers, one peer per interval keeps the
+// control traffic within its limit.
 const (
-	interval    = time.Second
-	callTimeout = time.Second
-	smallRoster = 12
-	smallFanout = 3
+	heartbeatInterval = time.Second
+	callTimeout       = time.Second
+	smallFleetPeers   = 12
+	smallFleetFanout  = 3
 )
 
-// Exchange implements turmericwall.Peers.
+// Exchange implements turmericwall.Peers. It is safe for concurrent use.
 type Exchange struct {
 	dialer   *twdialer.Dialer
 	fleet    *twfleet.Fleet
@@ -40,12 +41,13 @@
 	lost     chan string
 
 	mu       sync.Mutex
-	roster   *twroster.Tracker
+	tracker  *twroster.Tracker
 	draining bool
-	known    map[string]bool
+	// reportedLive holds the incarnations that were logged as live.
+	reportedLive map[string]bool
 }
 
-// Config names the daemon and what it learns through its peers.
+// Config holds this daemon's identity and what its peers' heartbeats and replies update.
 type Config struct {
 	Incarnation string
 	Address     string
@@ -58,33 +60,33 @@
 	Recorder    turmericwall.Recorder
 }
 
-// lostBuffer holds lost incarnations until the leader reads them.
+// lostBuffer is how many lost incarnations wait for the reader of Lost; further ones are dropped.
 const lostBuffer = 256
 
 // New returns an exchange that knows only its own daemon.
 func New(config Config) *Exchange {
 	self := &twpeer.Heartbeat{Incarnation: config.Incarnation, Address: config.Address, Zone: config.Zone}
 	return &Exchange{
-		dialer:   config.Dialer,
-		fleet:    config.Fleet,
-		holder:   config.Holder,
-		clock:    config.Clock,
-		recorder: config.Recorder,
-		seeds:    config.Seeds,
-		self:     config.Incarnation,
-		address:  config.Address,
-		lost:     make(chan string, lostBuffer),
-		roster:   twroster.New(self),
-		known:    make(map[string]bool),
+		dialer:       config.Dialer,
+		fleet:        config.Fleet,
+		holder:       config.Holder,
+		clock:        config.Clock,
+		recorder:     config.Recorder,
+		seeds:        config.Seeds,
+		self:         config.Incarnation,
+		address:      config.Address,
+		lost:         make(chan string, lostBuffer),
+		tracker:      twroster.New(self),
+		reportedLive: make(map[string]bool),
 	}
 }
 
 // Run exchanges heartbeats until ctx ends.
 func (e *Exchange) Run(ctx context.Context) error {
-	ticker := e.clock.NewTicker(interval)
+	ticker := e.clock.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
-		e.beat(ctx)
+		e.exchangeOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -93,44 +95,45 @@
 	}
 }
 
-// Lost receives the incarnations that became lost.
+// Lost returns the channel of the incarnations that became lost.
 func (e *Exchange) Lost() <-chan string { return e.lost }
 
-// Drain tells the peers that this daemon takes no new duties, at once and with each further beat.
+// Drain reports to the peers, at once and with each further heartbeat, that this daemon is draining and must lead no
+// service.
 func (e *Exchange) Drain(ctx context.Context) {
 	e.mu.Lock()
 	e.draining = true
 	e.mu.Unlock()
-	e.beat(ctx)
+	e.exchangeOnce(ctx)
 }
 
 // Receive merges a peer's heartbeats and returns this daemon's.
-func (e *Exchange) Receive(beats *twpeer.Heartbeats) *twpeer.Heartbeats {
+func (e *Exchange) Receive(heartbeats *twpeer.Heartbeats) *twpeer.Heartbeats {
 	now := e.clock.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.merge(now, beats)
-	return e.roster.Snapshot(now)
+	e.merge(now, heartbeats)
+	return e.tracker.Snapshot(now)
 }
 
 // Self returns this daemon's incarnation.
 func (e *Exchange) Self() string { return e.self }
 
-// Live tells whether the incarnation counts as live.
+// Live reports whether the incarnation counts as live.
 func (e *Exchange) Live(incarnation string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.roster.IsLive(e.clock.Now(), incarnation)
+	return e.tracker.IsLive(e.clock.Now(), incarnation)
 }
 
-// Isolated tells that most of the listed daemons are out of reach: then it is more likely this daemon
-// that is cut off, and what the others hold must not be taken for orphaned.
+// Isolated reports whether fewer than half of the listed daemons are reachable. It is then more likely that this
+// daemon is partitioned, and what the others hold must not count as orphaned.
 func (e *Exchange) Isolated() bool {
 	listed := len(e.fleet.Upstreams(twfleet.DaemonService))
 	return 2*len(e.Members()) < listed
 }
 
-// Leaders returns the live daemons that take duties, in the order of their incarnations.
+// Leaders returns the live daemons that are not draining, in the order of their incarnations.
 func (e *Exchange) Leaders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,7 +141,7 @@
 	if !e.draining {
 		leaders = append(leaders, e.self)
 	}
-	for _, b := range e.roster.Live(e.clock.Now()) {
+	for _, b := range e.tracker.Live(e.clock.Now()) {
 		if !b.GetDraining() {
 			leaders = append(leaders, b.GetIncarnation())
 		}
@@ -147,18 +150,18 @@
 	return leaders
 }
 
-// Members returns the live heartbeats, this daemon's first.
+// Members returns the last heartbeats of all live daemons, this daemon's first.
 func (e *Exchange) Members() []*twpeer.Heartbeat {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.roster.Snapshot(e.clock.Now()).GetBeats()
+	return e.tracker.Snapshot(e.clock.Now()).GetBeats()
 }
 
-// Meet asks all peers in reach for their heartbeats and the highest document, for a daemon that starts
-// while the platform is down. It returns how many peers answered.
+// Meet exchanges heartbeats with all known addresses, for a daemon that starts while the platform is unavailable. It
+// returns how many peers answered.
 func (e *Exchange) Meet(ctx context.Context) int {
 	answered := 0
-	for _, address := range e.contacts() {
+	for _, address := range e.addresses() {
 		if e.exchangeWith(ctx, address) == nil {
 			answered++
 		}
@@ -166,27 +169,31 @@
 	return answered
 }
 
-func (e *Exchange) beat(ctx context.Context) {
+// exchangeOnce runs one round of heartbeats and fetches what peers have that this daemon lacks. Peers that do not
+// answer are skipped until a later round.
+func (e *Exchange) exchangeOnce(ctx context.Context) {
 	e.advance()
-	e.noteLost()
+	e.reportLost()
 	for _, address := range e.targets() {
 		_ = e.exchangeWith(ctx, address)
 	}
-	e.catchUp(ctx)
-	e.learnVMs(ctx)
+	e.fetchNewerDocument(ctx)
+	e.fetchVMs(ctx)
 }
 
+// advance updates this daemon's own heartbeat.
 func (e *Exchange) advance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.roster.NextHeartbeats(e.clock.Now(), e.holder.Revision(), e.draining, e.fleet.Leaving())
+	e.tracker.NextHeartbeats(e.clock.Now(), e.holder.Revision(), e.draining, e.fleet.Leaving())
 }
 
-func (e *Exchange) noteLost() {
+// reportLost logs the daemons that became lost and sends them to the reader of Lost.
+func (e *Exchange) reportLost() {
 	e.mu.Lock()
-	lost := e.roster.NewlyLost(e.clock.Now())
+	lost := e.tracker.NewlyLost(e.clock.Now())
 	for _, incarnation := range lost {
-		delete(e.known, incarnation)
+		delete(e.reportedLive, incarnation)
 	}
 	e.mu.Unlock()
 	for _, incarnation := range lost {
@@ -198,24 +205,25 @@
 	}
 }
 
+// targets returns the addresses for one round, drawn at random.
 func (e *Exchange) targets() []string {
-	contacts := e.contacts()
-	rand.Shuffle(len(contacts), func(i, j int) { contacts[i], contacts[j] = contacts[j], contacts[i] })
+	addresses := e.addresses()
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	fanout := 1
-	if len(contacts) <= smallRoster {
-		fanout = smallFanout
+	if len(addresses) <= smallFleetPeers {
+		fanout = smallFleetFanout
 	}
-	return contacts[:min(fanout, len(contacts))]
+	return addresses[:min(fanout, len(addresses))]
 }
 
-// contacts are the addresses of live members, of the platform's list and of the settings.
-func (e *Exchange) contacts() []string {
+// addresses returns the addresses of live members, of the platform's list and of the settings, each once.
+func (e *Exchange) addresses() []string {
 	seen := map[string]bool{e.address: true}
-	var contacts []string
+	var addresses []string
 	add := func(address string) {
 		if !seen[address] {
 			seen[address] = true
-			contacts = append(contacts, address)
+			addresses = append(addresses, address)
 		}
 	}
 	for _, b := range e.Members() {
@@ -227,12 +235,13 @@
 	for _, seed := range e.seeds {
 		add(seed)
 	}
-	return contacts
+	return addresses
 }
 
+// exchangeWith sends this daemon's heartbeats to one peer and merges the reply.
 func (e *Exchange) exchangeWith(ctx context.Context, address string) error {
 	e.mu.Lock()
-	own := e.roster.Snapshot(e.clock.Now())
+	own := e.tracker.Snapshot(e.clock.Now())
 	e.mu.Unlock()
 	return e.dialer.Call(ctx, address, callTimeout, func(ctx context.Context, peer twpeer.PeerClient) error {
 		reply, err := peer.Exchange(ctx, own)
@@ -244,20 +253,22 @@
 	})
 }
 
-func (e *Exchange) merge(now time.Time, beats *twpeer.Heartbeats) {
-	e.roster.Merge(now, beats.GetBeats())
-	for _, b := range e.roster.Live(now) {
+// merge applies a peer's heartbeats and logs daemons that became live; the lock is held.
+func (e *Exchange) merge(now time.Time, heartbeats *twpeer.Heartbeats) {
+	e.tracker.Merge(now, heartbeats.GetBeats())
+	for _, b := range e.tracker.Live(now) {
 		e.fleet.RecordPeerLeaving(b.GetLeaving())
-		if !e.known[b.GetIncarnation()] {
-			e.known[b.GetIncarnation()] = true
-			e.recorder.Record(turmericwall.EventPeerLive).Str("peer", b.GetIncarnation()).Str("address", b.GetAddress()).Send()
+		if !e.reportedLive[b.GetIncarnation()] {
+			e.reportedLive[b.GetIncarnation()] = true
+			e.recorder.Record(turmericwall.EventPeerLive).
+				Str("peer", b.GetIncarnation()).Str("address", b.GetAddress()).Send()
 		}
 	}
 }
 
-// learnVMs asks a live peer for its list of VMs while this daemon has none: one that starts while the
-// platform is down could otherwise reach no upstream.
-func (e *Exchange) learnVMs(ctx context.Context) {
+// fetchVMs requests the list of VMs from a live peer while this daemon has none: a daemon that starts while the
+// platform is unavailable could otherwise reach no upstream.
+func (e *Exchange) fetchVMs(ctx context.Context) {
 	members := e.Members()[1:]
 	if e.fleet.Known() || len(members) == 0 {
 		return
@@ -272,9 +283,9 @@
 	})
 }
 
-// catchUp fetches the document from the live peer with the highest revision, if that is above this
-// daemon's. It spreads a revision while the platform's service is slow or down.
-func (e *Exchange) catchUp(ctx context.Context) {
+// fetchNewerDocument fetches the document from the live peer with the highest revision, if that is higher than this
+// daemon's. It spreads a revision while the platform's service is slow or unavailable.
+func (e *Exchange) fetchNewerDocument(ctx context.Context) {
 	address, revision := "", e.holder.Revision()
 	for _, b := range e.Members()[1:] {
 		if b.GetRevision() > revision {
