--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -15,104 +15,110 @@
 )
 
 const (
-	// dialLimit ends an attempt to connect: some round trips between zones.
-	dialLimit = 300 * time.Millisecond
-	// callLimit ends a call that is answered at once.
-	callLimit = 800 * time.Millisecond
-	// maxMessage bounds a message, in bytes: the state of the largest deployment is under 2 MB.
-	maxMessage = 4 << 20
-	// idleSpan is how long a connection without calls is kept.
-	idleSpan = 20 * time.Second
+	// dialTimeout is the time limit for connecting: some round trips between data centres.
+	dialTimeout = 300 * time.Millisecond
+	// callTimeout is the time limit of calls that the peer answers without waiting.
+	callTimeout = 800 * time.Millisecond
+	// maxMessageBytes limits a message: the state of the largest deployment is under 2 MB.
+	maxMessageBytes = 4 << 20
+	// idleTimeout is how long a connection without calls is kept open.
+	idleTimeout = 20 * time.Second
 )
 
-// errStatus tells that a peer declined a call.
-var errStatus = errors.New("the peer declined the call")
+// errStatus is returned when a peer answers with another status than 200.
+var errStatus = errors.New("the peer did not accept the call")
 
-// Client calls other daemons.
+// Client calls other daemons; it implements turmericwall.PeerClient and is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient() *Client {
-	dialer := &net.Dialer{Timeout: dialLimit, KeepAliveConfig: net.KeepAliveConfig{
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: time.Second, Interval: time.Second, Count: 2,
 	}}
 	return &Client{http: &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 8, IdleConnTimeout: idleSpan,
+		DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 8, IdleConnTimeout: idleTimeout,
 	}}}
 }
 
-// Heartbeat tells a daemon that this one is the leader.
-func (c *Client) Heartbeat(ctx context.Context, address string, heartbeat turmericwall.Heartbeat) (turmericwall.HeartbeatReply, error) {
-	var got turmericwall.HeartbeatReply
-	return got, c.call(ctx, address, pathHeartbeat, heartbeat, &got)
+// Heartbeat sends the leader's heartbeat and returns the daemon's reply. Its time limit is that of ctx.
+func (c *Client) Heartbeat(
+	ctx context.Context, address string, heartbeat turmericwall.Heartbeat,
+) (turmericwall.HeartbeatReply, error) {
+	var reply turmericwall.HeartbeatReply
+	return reply, c.call(ctx, address, pathHeartbeat, heartbeat, &reply)
 }
 
-// State asks a daemon for routes and upstreams.
+// State requests routes and upstreams from a daemon.
 func (c *Client) State(ctx context.Context, address string, ask turmericwall.StateAsk) (turmericwall.SharedState, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var got wireState
-	if err := c.call(ctx, address, pathState, ask, &got); err != nil {
+	var reply wireState
+	if err := c.call(ctx, address, pathState, ask, &reply); err != nil {
 		return turmericwall.SharedState{}, err
 	}
-	if err := unpack("plan", got.PackedPlan, &got.Plan); err != nil {
+	if err := unpack("plan", reply.PackedPlan, &reply.Plan); err != nil {
 		return turmericwall.SharedState{}, err
 	}
-	if err := unpack("upstreams", got.PackedUpstreams, &got.Upstreams); err != nil {
+	if err := unpack("upstreams", reply.PackedUpstreams, &reply.Upstreams); err != nil {
 		return turmericwall.SharedState{}, err
 	}
-	return got.SharedState, nil
+	return reply.SharedState, nil
 }
 
-// Place asks the leader for a place and waits for its decision.
+// Place requests a placement from the leader and waits for its decision. A refusal is returned as a
+// turmericwall.Problem, a failed call as another error.
 func (c *Client) Place(ctx context.Context, address string, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-	var got wirePlaced
-	if err := c.call(ctx, address, pathPlace, toWire(time.Now(), ask), &got); err != nil {
+	var reply wirePlaceReply
+	if err := c.call(ctx, address, pathPlace, encodePlaceRequest(time.Now(), ask), &reply); err != nil {
 		return turmericwall.Placement{}, err
 	}
 	now := time.Now()
-	if got.OverLimit {
-		return turmericwall.Placement{}, turmericwall.NewProblem(turmericwall.KindOverLimit, got.Reason, "come back at the time given").
-			WithRetryAt(now.Add(time.Duration(got.RetryMillis) * time.Millisecond))
+	if reply.OverLimit {
+		return turmericwall.Placement{}, turmericwall.
+			NewProblem(turmericwall.KindOverLimit, reply.Reason, "retry at the time given").
+			WithRetryAt(now.Add(time.Duration(reply.RetryMillis) * time.Millisecond))
 	}
-	if got.Refused {
+	if reply.Refused {
 		return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{
-			Attempt: ask.ID, Reason: got.Reason, Never: got.Never,
-			RetryAt: now.Add(time.Duration(got.RetryMillis) * time.Millisecond),
+			Attempt: ask.ID, Reason: reply.Reason, Never: reply.Never,
+			RetryAt: now.Add(time.Duration(reply.RetryMillis) * time.Millisecond),
 		})
 	}
 	return turmericwall.Placement{
-		ID: ask.ID, Decode: got.Decode, Prefill: got.Prefill, ReserveTokens: got.ReserveTokens, Reason: got.Reason, Late: got.Late,
-		ReadDeadline: now.Add(time.Duration(got.ReadMillis) * time.Millisecond),
+		ID: ask.ID, Decode: reply.Decode, Prefill: reply.Prefill, ReserveTokens: reply.ReserveTokens,
+		Reason: reply.Reason, Late: reply.Late,
+		ReadDeadline: now.Add(time.Duration(reply.ReadMillis) * time.Millisecond),
 	}, nil
 }
 
-// Finish tells the leader what happened to placed calls.
+// Finish reports to the leader what happened to placed calls.
 func (c *Client) Finish(ctx context.Context, address string, ends []turmericwall.PlacementEnd) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return c.call(ctx, address, pathFinish, ends, nil)
 }
 
-// Runs tells a new leader of the calls under way.
+// Runs reports this daemon's calls under way to a new leader.
 func (c *Client) Runs(ctx context.Context, address string, runs []turmericwall.PlacedRun) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := time.Now()
 	list := make([]wireRun, 0, len(runs))
 	for _, r := range runs {
-		list = append(list, wireRun{Ask: toWire(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis})
+		list = append(list, wireRun{Ask: encodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis})
 	}
 	return c.call(ctx, address, pathRuns, list, nil)
 }
 
-// Admit asks the daemon that counts for all for sends to an upstream.
+// Admit requests sends to an upstream that states a rate from the rate coordinator. Its time limit is that of ctx.
 func (c *Client) Admit(ctx context.Context, address string, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
-	var got turmericwall.AdmitReply
-	return got, c.call(ctx, address, pathAdmit, ask, &got)
+	var reply turmericwall.AdmitReply
+	return reply, c.call(ctx, address, pathAdmit, ask, &reply)
 }
 
-func (c *Client) call(ctx context.Context, address, path string, ask, got any) error {
+// call posts a message as JSON and decodes the answer into reply unless that is nil.
+func (c *Client) call(ctx context.Context, address, path string, ask, reply any) error {
 	body, err := json.Marshal(ask)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
@@ -126,17 +132,17 @@
 		return fmt.Errorf("call the peer: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxMessage))
+	replyBody, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return fmt.Errorf("read the peer's answer: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: status %d to %s", errStatus, response.StatusCode, path)
+		return fmt.Errorf("%w: status %d for %s", errStatus, response.StatusCode, path)
 	}
-	if got == nil {
+	if reply == nil {
 		return nil
 	}
-	if err := json.Unmarshal(answer, got); err != nil {
+	if err := json.Unmarshal(replyBody, reply); err != nil {
 		return fmt.Errorf("decode the peer's answer: %w", err)
 	}
 	return nil
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -19,7 +19,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
 )
 
-// Guards against a message of a peer that ends the daemon, or that makes a proof newer than now.
+// Guards against a message from a peer that crashes the daemon, or that makes a proof newer than now.
 func FuzzMessages(f *testing.F) {
 	f.Add("/peer/heartbeat", []byte(`{"leader":{"name":"a"},"term":3,"proofMillis":-5,"echo":{"incarnation":"i","moment":9223372036854775807},"levels":[{"account":"a","units":-9}]}`))
 	f.Add("/peer/heartbeat", []byte(`{"proofMillis":9223372036854775807,"echo":{"incarnation":"i","moment":1}}`))
@@ -48,7 +48,7 @@
 				now := twboottime.Now()
 				proof.ConfirmEcho(now, h.Echo, h.ProofMillis)
 				if age := proof.AgeMillis(now); age < -1 {
-					t.Fatalf("a proof of %d ms", age)
+					t.Fatalf("the proof has an age of %d ms", age)
 				}
 				quotas.TakeLevels(h.Leader.Incarnation, h.Levels)
 				rates.TakeList(h.Rates)
@@ -67,7 +67,7 @@
 			Admit: func(ask turmericwall.AdmitAsk) turmericwall.AdmitReply {
 				reply := throttle.Grant(ask)
 				if reply.Granted > max(ask.Count, 0) || reply.NextMillis < 0 || reply.RetryMillis < 0 {
-					t.Fatalf("%+v was answered by %+v", ask, reply)
+					t.Fatalf("request %+v was answered by %+v", ask, reply)
 				}
 				return reply
 			},
--- a/internal/membership/twpeerhttp/messages.go
+++ b/internal/membership/twpeerhttp/messages.go
@@ -16,8 +16,9 @@
 	pathAdmit     = "/peer/admit"
 )
 
-// wireAsk is an ask as it travels: daemons' clocks differ, so deadlines travel as what is left of them.
-type wireAsk struct {
+// wirePlaceRequest is a request for a placement as it is sent. Deadlines are sent as the time that is left, since the
+// clocks of two VMs differ.
+type wirePlaceRequest struct {
 	ID           string                 `json:"id"`
 	Service      string                 `json:"service"`
 	Owner        string                 `json:"owner"`
@@ -34,14 +35,15 @@
 	Priority     int                    `json:"priority,omitempty"`
 }
 
+// wireRun is a call under way as it is sent to a new leader.
 type wireRun struct {
-	Ask       wireAsk `json:"ask"`
-	Engine    string  `json:"engine"`
-	AgeMillis int64   `json:"ageMillis"`
+	Ask       wirePlaceRequest `json:"ask"`
+	Engine    string           `json:"engine"`
+	AgeMillis int64            `json:"ageMillis"`
 }
 
-// wirePlaced is a placement or a refusal.
-type wirePlaced struct {
+// wirePlaceReply is a placement or a refusal as it is sent.
+type wirePlaceReply struct {
 	Decode        turmericwall.Upstream `json:"decode"`
 	Prefill       turmericwall.Upstream `json:"prefill"`
 	ReserveTokens int                   `json:"reserveTokens,omitempty"`
@@ -54,8 +56,9 @@
 	RetryMillis   int64                 `json:"retryMillis,omitempty"`
 }
 
-func toWire(now time.Time, ask turmericwall.PlaceAsk) wireAsk {
-	return wireAsk{
+// encodePlaceRequest returns the request as it is sent at the time now.
+func encodePlaceRequest(now time.Time, ask turmericwall.PlaceAsk) wirePlaceRequest {
+	return wirePlaceRequest{
 		ID: ask.ID, Service: ask.Service, Owner: ask.Owner, Zone: ask.Zone, Work: ask.Work,
 		TargetMillis: ask.TargetDeadline.Sub(now).Milliseconds(),
 		GiveUpMillis: ask.GiveUpDeadline.Sub(now).Milliseconds(),
@@ -69,7 +72,8 @@
 	}
 }
 
-func fromWire(now time.Time, ask wireAsk) turmericwall.PlaceAsk {
+// decodePlaceRequest returns a request that was received at the time now.
+func decodePlaceRequest(now time.Time, ask wirePlaceRequest) turmericwall.PlaceAsk {
 	return turmericwall.PlaceAsk{
 		ID: ask.ID, Service: ask.Service, Owner: ask.Owner, Zone: ask.Zone, Work: ask.Work,
 		TargetDeadline: now.Add(time.Duration(ask.TargetMillis) * time.Millisecond),
@@ -84,7 +88,7 @@
 	}
 }
 
-// wireState is the state with its plan and a whole list of upstreams packed.
+// wireState is the state as it is sent: the plan and a complete list of upstreams are compressed.
 type wireState struct {
 	turmericwall.SharedState
 	PackedPlan      []byte `json:"packedPlan,omitempty"`
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -16,6 +16,7 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twpeerhttp"
 )
 
+// serve starts a server and returns its address.
 func serve(t *testing.T, config twpeerhttp.Config) string {
 	t.Helper()
 	server := httptest.NewServer(twpeerhttp.NewServer(config))
@@ -23,7 +24,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func ask() turmericwall.PlaceAsk {
+// placeRequest returns a request for a placement with all fields that are sent.
+func placeRequest() turmericwall.PlaceAsk {
 	now := time.Now()
 	return turmericwall.PlaceAsk{
 		ID: "1/0", Service: "s", Owner: "o", Zone: "z", Work: turmericwall.ModelWork{PromptTokens: 10, Subject: "x"},
@@ -32,9 +34,9 @@
 	}
 }
 
-func TestPlacing(t *testing.T) {
+func TestPlacementKeepsItsFieldsAndDeadlines(t *testing.T) {
 	g := NewWithT(t)
-	want := ask()
+	want := placeRequest()
 	address := serve(t, twpeerhttp.Config{
 		Keeps: func() bool { return true },
 		Place: func(_ context.Context, got turmericwall.PlaceAsk) (turmericwall.Placement, error) {
@@ -42,7 +44,10 @@
 			g.Expect(got.CallerDeadline).To(BeTemporally("~", want.CallerDeadline, 200*time.Millisecond))
 			got.TargetDeadline, got.GiveUpDeadline, got.CallerDeadline = want.TargetDeadline, want.GiveUpDeadline, want.CallerDeadline
 			g.Expect(got).To(Equal(want))
-			return turmericwall.Placement{Decode: turmericwall.Upstream{ID: "d"}, ReserveTokens: 7, Late: true, Reason: "r", ReadDeadline: time.Now().Add(time.Second)}, nil
+			return turmericwall.Placement{
+				Decode: turmericwall.Upstream{ID: "d"}, ReserveTokens: 7, Late: true, Reason: "r",
+				ReadDeadline: time.Now().Add(time.Second),
+			}, nil
 		},
 	})
 	got, err := twpeerhttp.NewClient().Place(context.Background(), address, want)
@@ -51,7 +56,7 @@
 	g.Expect(got.ReadDeadline).To(BeTemporally("~", time.Now().Add(time.Second), 300*time.Millisecond))
 }
 
-func TestARefusalKeepsItsTime(t *testing.T) {
+func TestRefusalKeepsRetryTime(t *testing.T) {
 	g := NewWithT(t)
 	address := serve(t, twpeerhttp.Config{
 		Keeps: func() bool { return true },
@@ -59,20 +64,21 @@
 			return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{Reason: "full", RetryAt: time.Now().Add(2 * time.Second)})
 		},
 	})
-	_, err := twpeerhttp.NewClient().Place(context.Background(), address, ask())
+	_, err := twpeerhttp.NewClient().Place(context.Background(), address, placeRequest())
 	g.Expect(turmericwall.IsKind(err, turmericwall.KindOverloaded)).To(BeTrue())
 	g.Expect(err.(*turmericwall.Problem).RetryAt()).To(BeTemporally("~", time.Now().Add(2*time.Second), 300*time.Millisecond))
 }
 
-// A daemon asks one that is no longer the leader. Books that nobody tells of ends would fill up with calls long over.
-func TestOnlyTheLeaderPlaces(t *testing.T) {
+// A daemon requests a placement from one that is no longer the leader. It must be refused: the former leader gets no
+// ends of placements, so its reservations would never be released.
+func TestOnlyLeaderPlacesCalls(t *testing.T) {
 	g := NewWithT(t)
 	address := serve(t, twpeerhttp.Config{Keeps: func() bool { return false }})
-	_, err := twpeerhttp.NewClient().Place(context.Background(), address, ask())
+	_, err := twpeerhttp.NewClient().Place(context.Background(), address, placeRequest())
 	g.Expect(err).To(MatchError(ContainSubstring("421")))
 }
 
-func TestEndsRunsBeatsAndState(t *testing.T) {
+func TestFinishRunsHeartbeatAndStateKeepTheirFields(t *testing.T) {
 	g := NewWithT(t)
 	var ended []turmericwall.PlacementEnd
 	var adopted []turmericwall.PlacedRun
@@ -94,17 +100,17 @@
 	c, ctx := twpeerhttp.NewClient(), context.Background()
 	g.Expect(c.Finish(ctx, address, []turmericwall.PlacementEnd{{ID: "1", Running: true, PromptRead: true, PromptMillis: 5}})).To(Succeed())
 	g.Expect(ended).To(Equal([]turmericwall.PlacementEnd{{ID: "1", Running: true, PromptRead: true, PromptMillis: 5}}))
-	g.Expect(c.Runs(ctx, address, []turmericwall.PlacedRun{{Ask: ask(), Engine: "d", AgeMillis: -40}})).To(Succeed())
+	g.Expect(c.Runs(ctx, address, []turmericwall.PlacedRun{{Ask: placeRequest(), Engine: "d", AgeMillis: -40}})).To(Succeed())
 	g.Expect([]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Ask.ID}).To(Equal([]any{"d", int64(-40), "1/0"}))
 	got, err := c.Heartbeat(ctx, address, turmericwall.Heartbeat{
 		Term: 3, Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}},
 	})
 	g.Expect([]any{got, err}).To(Equal([]any{me, nil}))
-	learned, err := c.State(ctx, address, turmericwall.StateAsk{UpstreamsPosition: 8})
-	g.Expect([]any{learned, err}).To(Equal([]any{state, nil}))
+	received, err := c.State(ctx, address, turmericwall.StateAsk{UpstreamsPosition: 8})
+	g.Expect([]any{received, err}).To(Equal([]any{state, nil}))
 }
 
-func TestABrokenPlanIsAnError(t *testing.T) {
+func TestCorruptPlanIsAnError(t *testing.T) {
 	g := NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"packedPlan":"AAAA"}`)
@@ -114,9 +120,9 @@
 	g.Expect(err).To(MatchError(ContainSubstring("unpack the plan")))
 }
 
-// All daemons start at once and ask for all upstreams; encoded for each, the list fills the memory and link of the one that
-// answers.
-func TestAWholeListOfUpstreamsIsPackedOnce(t *testing.T) {
+// All daemons start at once and request all upstreams. If the list were encoded for each, it would fill the memory
+// and the link of the daemon that answers.
+func TestCompleteListOfUpstreamsIsCompressedOnce(t *testing.T) {
 	g := NewWithT(t)
 	state := turmericwall.SharedState{UpstreamsPosition: 9}
 	for n := range 3000 {
@@ -129,16 +135,16 @@
 	_ = response.Body.Close()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(body)).To(BeNumerically("<", 64<<10))
-	learned, err := twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
+	received, err := twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(learned.Upstreams).To(Equal(state.Upstreams))
+	g.Expect(received.Upstreams).To(Equal(state.Upstreams))
 	state.UpstreamsPosition, state.Upstreams = 10, state.Upstreams[:1]
-	learned, err = twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
+	received, err = twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(learned.Upstreams).To(HaveLen(1), "a newer list is packed anew")
+	g.Expect(received.Upstreams).To(HaveLen(1), "a newer list is compressed anew")
 }
 
-func TestUnreadableMessagesAreRefused(t *testing.T) {
+func TestUnreadableMessagesAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	address := serve(t, twpeerhttp.Config{})
 	for _, path := range []string{"heartbeat", "place", "finish", "runs", "state"} {
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -1,6 +1,7 @@
-// Package twpeerhttp carries the calls between daemons.
+// Package twpeerhttp carries the calls between daemons: heartbeats, shared state, placements by the leader, their
+// ends, and sends to upstreams that state a rate.
 //
-// It speaks JSON over HTTP/1.1 and not gRPC: the machines have little memory and few calls are exchanged.
+// It uses JSON over HTTP/1.1 instead of gRPC, since VMs have little memory and daemons exchange few calls.
 package twpeerhttp
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Config says who answers the calls.
+// Config holds the functions that answer the calls. Keeps reports whether this daemon may place calls as the leader.
 type Config struct {
 	Heard  func(turmericwall.Heartbeat) turmericwall.HeartbeatReply
 	State  func(turmericwall.StateAsk) turmericwall.SharedState
@@ -29,22 +30,22 @@
 	Admit  func(turmericwall.AdmitAsk) turmericwall.AdmitReply
 }
 
-// Server is the HTTP handler for peers.
+// Server is the HTTP handler of the calls from peers.
 type Server struct {
 	config Config
 	mux    *http.ServeMux
 	mu     sync.Mutex
-	// plan is the newest plan, packed, and upstreams the newest list of all upstreams.
+	// plan is the newest plan, and upstreams the newest list of all upstreams, compressed.
 	plan, upstreams packed
 }
 
-// packed is a message in the form in which it travels, and what it was made from.
+// packed is a compressed message, and the key of the message that it was made from.
 type packed struct {
 	key   any
 	bytes []byte
 }
 
-// NewServer returns a handler.
+// NewServer returns a handler that answers with the functions in config.
 func NewServer(config Config) *Server {
 	s := &Server{config: config, mux: http.NewServeMux()}
 	s.mux.HandleFunc("POST "+pathHeartbeat, s.heartbeat)
@@ -56,46 +57,46 @@
 	return s
 }
 
-// ServeHTTP answers one call of a peer.
+// ServeHTTP answers one call from a peer.
 func (s *Server) ServeHTTP(w http.ResponseWriter, request *http.Request) { s.mux.ServeHTTP(w, request) }
 
 func (s *Server) heartbeat(w http.ResponseWriter, request *http.Request) {
 	var heartbeat turmericwall.Heartbeat
-	if read(w, request, &heartbeat) {
-		write(w, s.config.Heard(heartbeat))
+	if readJSON(w, request, &heartbeat) {
+		writeJSON(w, s.config.Heard(heartbeat))
 	}
 }
 
 func (s *Server) state(w http.ResponseWriter, request *http.Request) {
 	var ask turmericwall.StateAsk
-	if !read(w, request, &ask) {
+	if !readJSON(w, request, &ask) {
 		return
 	}
 	state := s.config.State(ask)
 	answer := wireState{SharedState: state}
 	err := s.pack(&answer)
 	if err != nil {
-		http.Error(w, "the state can't be encoded: "+err.Error(), http.StatusInternalServerError)
+		http.Error(w, "encode the state: "+err.Error(), http.StatusInternalServerError)
 		return
 	}
-	write(w, answer)
+	writeJSON(w, answer)
 }
 
-// pack replaces the plan and a whole list of upstreams by packed bytes, the same ones for all peers.
+// pack replaces the plan and a complete list of upstreams by compressed bytes, the same ones for all peers.
 //
-// All daemons ask in the same moment. Encoded for each, the state takes the leader's memory and processor, and
-// unpacked it fills links on which heartbeats have to come through.
+// All daemons request them at the same time. Encoded for each, the state would take the leader's memory and processor
+// time; uncompressed, it would fill the links on which heartbeats are sent.
 func (s *Server) pack(answer *wireState) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if answer.Plan != nil {
-		if err := s.plan.take(answer.Plan, answer.Plan); err != nil {
+		if err := s.plan.update(answer.Plan, answer.Plan); err != nil {
 			return err
 		}
 		answer.PackedPlan, answer.Plan = s.plan.bytes, nil
 	}
 	if !answer.Partial && len(answer.Upstreams) > 0 {
-		if err := s.upstreams.take(answer.UpstreamsPosition, answer.Upstreams); err != nil {
+		if err := s.upstreams.update(answer.UpstreamsPosition, answer.Upstreams); err != nil {
 			return err
 		}
 		answer.PackedUpstreams, answer.Upstreams = s.upstreams.bytes, nil
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// take packs the message unless it was packed under the same key.
-func (p *packed) take(key, message any) error {
+// update compresses the message unless the bytes were made under the same key.
+func (p *packed) update(key, message any) error {
 	if p.key == key {
 		return nil
 	}
@@ -120,7 +121,8 @@
 	return nil
 }
 
-// unpack reads a packed part of a message, of at most maxMessage bytes; without bytes it leaves into as it is.
+// unpack decodes a compressed part of a message, which may have up to maxMessageBytes uncompressed. Without bytes it
+// leaves into unchanged.
 func unpack(part string, packed []byte, into any) error {
 	if len(packed) == 0 {
 		return nil
@@ -129,32 +131,33 @@
 	if err != nil {
 		return fmt.Errorf("unpack the %s: %w", part, err)
 	}
-	if err := json.NewDecoder(io.LimitReader(reader, maxMessage)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(reader, maxMessageBytes)).Decode(into); err != nil {
 		return fmt.Errorf("decode the %s: %w", part, err)
 	}
 	return nil
 }
 
 func (s *Server) place(w http.ResponseWriter, request *http.Request) {
-	var ask wireAsk
-	if !read(w, request, &ask) {
+	var ask wirePlaceRequest
+	if !readJSON(w, request, &ask) {
 		return
 	}
 	if !s.config.Keeps() {
 		http.Error(w, "this daemon is not the leader; wait for the next heartbeat", http.StatusMisdirectedRequest)
 		return
 	}
-	placement, err := s.config.Place(request.Context(), fromWire(time.Now(), ask))
+	placement, err := s.config.Place(request.Context(), decodePlaceRequest(time.Now(), ask))
 	now := time.Now()
 	var p *turmericwall.Problem
 	if errors.As(err, &p) {
-		write(w, wirePlaced{
-			Refused: true, Never: p.Kind() == turmericwall.KindTooLarge, OverLimit: p.Kind() == turmericwall.KindOverLimit, Reason: p.Detail(),
+		writeJSON(w, wirePlaceReply{
+			Refused: true, Never: p.Kind() == turmericwall.KindTooLarge,
+			OverLimit: p.Kind() == turmericwall.KindOverLimit, Reason: p.Detail(),
 			RetryMillis: max(p.RetryAt().Sub(now).Milliseconds(), 0),
 		})
 		return
 	}
-	write(w, wirePlaced{
+	writeJSON(w, wirePlaceReply{
 		Decode: placement.Decode, Prefill: placement.Prefill, ReserveTokens: placement.ReserveTokens,
 		ReadMillis: placement.ReadDeadline.Sub(now).Milliseconds(), Reason: placement.Reason, Late: placement.Late,
 	})
@@ -162,49 +165,51 @@
 
 func (s *Server) finish(w http.ResponseWriter, request *http.Request) {
 	var ends []turmericwall.PlacementEnd
-	if !read(w, request, &ends) {
+	if !readJSON(w, request, &ends) {
 		return
 	}
 	for _, end := range ends {
 		s.config.Finish(end)
 	}
-	write(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
 func (s *Server) runs(w http.ResponseWriter, request *http.Request) {
 	var runs []wireRun
-	if !read(w, request, &runs) {
+	if !readJSON(w, request, &runs) {
 		return
 	}
 	now := time.Now()
 	for _, r := range runs {
-		s.config.Adopt(turmericwall.PlacedRun{Ask: fromWire(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis})
+		s.config.Adopt(turmericwall.PlacedRun{Ask: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis})
 	}
-	write(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
 func (s *Server) admit(w http.ResponseWriter, request *http.Request) {
 	var ask turmericwall.AdmitAsk
-	if read(w, request, &ask) {
-		write(w, s.config.Admit(ask))
+	if readJSON(w, request, &ask) {
+		writeJSON(w, s.config.Admit(ask))
 	}
 }
 
-func read(w http.ResponseWriter, request *http.Request, into any) bool {
-	body, err := io.ReadAll(io.LimitReader(request.Body, maxMessage))
+// readJSON decodes the request's body and reports whether that succeeded; if not, it has answered with status 400.
+func readJSON(w http.ResponseWriter, request *http.Request, into any) bool {
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxMessageBytes))
 	if err == nil {
 		err = json.Unmarshal(body, into)
 	}
 	if err != nil {
-		http.Error(w, "the message can't be read: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "read the message: "+err.Error(), http.StatusBadRequest)
 	}
 	return err == nil
 }
 
-func write(w http.ResponseWriter, message any) {
+// writeJSON answers with the message as JSON.
+func writeJSON(w http.ResponseWriter, message any) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		http.Error(w, "the answer can't be encoded: "+err.Error(), http.StatusInternalServerError)
+		http.Error(w, "encode the answer: "+err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
