--- a/internal/membership/twpeer/codec.go
+++ b/internal/membership/twpeer/codec.go
@@ -6,9 +6,9 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Deadlines cross the wire as what is left of them, since the clocks of two VMs are never compared.
+// Deadlines are sent as the time that is left, since the clocks of two VMs are never compared.
 
-// EncodeArrival returns the arrival's message.
+// EncodeArrival returns the request for placing the arrival.
 func EncodeArrival(now time.Time, a turmericwall.Arrival) *PlaceRequest {
 	return &PlaceRequest{
 		Attempt:          a.Attempt,
@@ -30,7 +30,7 @@
 	}
 }
 
-// DecodeArrival returns the message's arrival.
+// DecodeArrival returns the arrival of a request.
 func DecodeArrival(now time.Time, m *PlaceRequest) turmericwall.Arrival {
 	return turmericwall.Arrival{
 		Attempt:            m.GetAttempt(),
@@ -52,7 +52,7 @@
 	}
 }
 
-// EncodeGrant returns the grant's message.
+// EncodeGrant returns the reply that grants a placement.
 func EncodeGrant(now time.Time, g turmericwall.Grant) *PlaceReply {
 	return &PlaceReply{
 		Granted:          true,
@@ -66,14 +66,14 @@
 	}
 }
 
-// EncodeRefusal returns the refusal's message.
+// EncodeRefusal returns the reply that refuses a placement, with the retry time.
 func EncodeRefusal(now time.Time, p *turmericwall.Problem) *PlaceReply {
 	return &PlaceReply{
 		Reason: p.Detail(), RetryMicros: remaining(now, p.RetryAt()), Never: p.Kind() == turmericwall.KindTooLarge,
 	}
 }
 
-// DecodeGrant returns the message's grant, or the refusal as a problem.
+// DecodeGrant returns the grant of a reply, or its refusal as a turmericwall.Problem.
 func DecodeGrant(now time.Time, attempt string, m *PlaceReply) (turmericwall.Grant, error) {
 	if !m.GetGranted() {
 		return turmericwall.Grant{}, turmericwall.Refused(turmericwall.Refusal{
@@ -92,7 +92,7 @@
 	}, nil
 }
 
-// EncodeEndings returns the endings' message.
+// EncodeEndings returns the request that reports the endings of attempts.
 func EncodeEndings(endings []turmericwall.Ending) *FinishRequest {
 	m := &FinishRequest{}
 	for _, e := range endings {
@@ -101,7 +101,7 @@
 	return m
 }
 
-// DecodeEndings returns the message's endings.
+// DecodeEndings returns the endings of a request.
 func DecodeEndings(m *FinishRequest) []turmericwall.Ending {
 	endings := make([]turmericwall.Ending, 0, len(m.GetEndings()))
 	for _, e := range m.GetEndings() {
@@ -110,7 +110,7 @@
 	return endings
 }
 
-// EncodeVMs returns the list's message.
+// EncodeVMs returns the reply with a list of VMs.
 func EncodeVMs(vms []turmericwall.VM) *FetchVMsReply {
 	m := &FetchVMsReply{}
 	for _, vm := range vms {
@@ -121,7 +121,7 @@
 	return m
 }
 
-// DecodeVMs returns the message's list.
+// DecodeVMs returns the list of VMs of a reply.
 func DecodeVMs(m *FetchVMsReply) []turmericwall.VM {
 	vms := make([]turmericwall.VM, 0, len(m.GetVms()))
 	for _, vm := range m.GetVms() {
@@ -141,7 +141,8 @@
 	return turmericwall.VM{Name: m.GetName(), Address: m.GetAddress(), Zone: m.GetZone()}
 }
 
-// remaining is at least one microsecond for a set deadline, since 0 stands for none.
+// remaining returns the time left until the deadline in microseconds: at least 1 for a set deadline, since 0 stands
+// for none.
 func remaining(now, deadline time.Time) int64 {
 	if deadline.IsZero() {
 		return 0
@@ -149,6 +150,7 @@
 	return max(1, deadline.Sub(now).Microseconds())
 }
 
+// deadline returns the time at which the microseconds have passed, or the zero time for 0.
 func deadline(now time.Time, micros int64) time.Time {
 	if micros == 0 {
 		return time.Time{}
