--- a/internal/membership/twserver/server.go
+++ b/internal/membership/twserver/server.go
@@ -1,4 +1,5 @@
-// Package twserver serves the peer protocol to the other daemons.
+// Package twserver serves the gRPC peer protocol to the other daemons. It answers from this daemon's own heartbeats,
+// document, list of VMs, placements and attempts.
 package twserver
 
 import (
@@ -19,14 +20,14 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twpeer"
 )
 
-// Server answers peers.
+// Server answers calls from peers.
 type Server struct {
 	twpeer.UnimplementedPeerServer
 	config Config
 	grpc   *grpc.Server
 }
 
-// Config names what the server answers from.
+// Config holds the server's credentials and the parts of the daemon that answer the calls.
 type Config struct {
 	Credentials credentials.TransportCredentials
 	Stats       stats.Handler
@@ -34,13 +35,13 @@
 	Exchange    *twexchange.Exchange
 	Fleet       *twfleet.Fleet
 	Documents   turmericwall.Documents
-	// Leader places arrivals at this daemon.
+	// Leader places arrivals for the services that this daemon leads.
 	Leader   turmericwall.Placer
 	Attempts turmericwall.AttemptOwner
 	Holder   turmericwall.AttemptHolder
 }
 
-// New returns a server.
+// New returns a server that is not serving yet.
 func New(config Config) *Server {
 	s := &Server{config: config}
 	s.grpc = grpc.NewServer(grpc.Creds(config.Credentials), grpc.StatsHandler(config.Stats))
@@ -48,7 +49,7 @@
 	return s
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve serves the listener until ctx ends. It returns an error only if the listener fails before that.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	ended := make(chan error, 1)
 	go func() { ended <- s.grpc.Serve(listener) }()
@@ -62,42 +63,42 @@
 	}
 }
 
-// Exchange merges heartbeats.
-func (s *Server) Exchange(_ context.Context, beats *twpeer.Heartbeats) (*twpeer.Heartbeats, error) {
-	return s.config.Exchange.Receive(beats), nil
+// Exchange merges a peer's heartbeats and returns this daemon's.
+func (s *Server) Exchange(_ context.Context, heartbeats *twpeer.Heartbeats) (*twpeer.Heartbeats, error) {
+	return s.config.Exchange.Receive(heartbeats), nil
 }
 
-// FetchDocument returns the configuration in force here.
+// FetchDocument returns the document in force at this daemon, or the code NotFound while there is none.
 func (s *Server) FetchDocument(context.Context, *twpeer.FetchDocumentRequest) (*twpeer.FetchDocumentReply, error) {
 	document, ok := s.config.Documents.Current()
 	if !ok {
-		return nil, status.Error(codes.NotFound, "no revision is known here; ask another peer")
+		return nil, status.Error(codes.NotFound, "this daemon has no document yet; ask another peer")
 	}
 	return &twpeer.FetchDocumentReply{Revision: document.Revision(), Source: document.Source()}, nil
 }
 
-// FetchVMs returns the last list of VMs read here.
+// FetchVMs returns the last list of VMs that this daemon has, or the code NotFound while it has none.
 func (s *Server) FetchVMs(context.Context, *twpeer.FetchVMsRequest) (*twpeer.FetchVMsReply, error) {
 	if !s.config.Fleet.Known() {
-		return nil, status.Error(codes.NotFound, "no list of VMs is known here; ask another peer")
+		return nil, status.Error(codes.NotFound, "this daemon has no list of VMs yet; ask another peer")
 	}
 	return twpeer.EncodeVMs(s.config.Fleet.All()), nil
 }
 
-// Place grants or refuses an arrival as leader.
+// Place grants or refuses an arrival as the leader. A refusal is a reply; other errors have the code Unavailable.
 func (s *Server) Place(ctx context.Context, request *twpeer.PlaceRequest) (*twpeer.PlaceReply, error) {
 	grant, err := s.config.Leader.Place(ctx, twpeer.DecodeArrival(s.config.Clock.Now(), request))
 	if err == nil {
 		return twpeer.EncodeGrant(s.config.Clock.Now(), grant), nil
 	}
-	var refused *turmericwall.Problem
-	if errors.As(err, &refused) {
-		return twpeer.EncodeRefusal(s.config.Clock.Now(), refused), nil
+	var refusal *turmericwall.Problem
+	if errors.As(err, &refusal) {
+		return twpeer.EncodeRefusal(s.config.Clock.Now(), refusal), nil
 	}
 	return nil, status.Error(codes.Unavailable, err.Error())
 }
 
-// Finish releases reservations.
+// Finish releases the reservations of ended attempts.
 func (s *Server) Finish(_ context.Context, request *twpeer.FinishRequest) (*twpeer.FinishReply, error) {
 	for _, e := range twpeer.DecodeEndings(request) {
 		s.config.Leader.Finish(e)
@@ -105,12 +106,12 @@
 	return &twpeer.FinishReply{}, nil
 }
 
-// Inquire tells how far an attempt of this daemon got, and seals one that was not sent.
+// Inquire returns how far an attempt of this daemon got, and seals one that was not sent.
 func (s *Server) Inquire(_ context.Context, request *twpeer.InquireRequest) (*twpeer.InquireReply, error) {
 	return &twpeer.InquireReply{State: string(s.config.Attempts.State(request.GetAttempt()))}, nil
 }
 
-// Hold tells which attempts this daemon still wants.
+// Hold returns which of the attempts this daemon still wants.
 func (s *Server) Hold(_ context.Context, request *twpeer.HoldRequest) (*twpeer.HoldReply, error) {
 	return &twpeer.HoldReply{Wanted: s.config.Holder.Wanted(request.GetAttempts())}, nil
 }
