--- a/internal/membership/twdialer/dialer.go
+++ b/internal/membership/twdialer/dialer.go
@@ -1,4 +1,4 @@
-// Package twdialer keeps one gRPC connection to each peer.
+// Package twdialer keeps one gRPC connection to each peer, and counts the traffic of the peer protocol.
 package twdialer
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twpeer"
 )
 
-// closeAfter is above the longest call's deadline.
-const closeAfter = 10 * time.Second
+// closeDelay is how long a replaced connection stays open. It is above the longest call's time limit.
+const closeDelay = 10 * time.Second
 
-// Dialer gives clients of the peer protocol.
+// Dialer calls peers over the connections that it keeps. It is safe for concurrent use.
 type Dialer struct {
 	credentials credentials.TransportCredentials
 	traffic     *traffic
@@ -29,7 +29,7 @@
 	connections map[string]*grpc.ClientConn
 }
 
-// Config says how peers are reached.
+// Config holds the credentials for peers and the registry for the traffic's counters.
 type Config struct {
 	Credentials credentials.TransportCredentials
 	Registry    metrics.Registry
@@ -44,21 +44,23 @@
 	}
 }
 
-// Call runs one call to the peer within its deadline.
+// Call runs one call to the peer within the timeout.
 //
-// An open connection can go silent for good while new ones work: the symptom is a call that ends by
-// its deadline. The next call then dials anew. The old connection is closed later: if it was only one
-// call that was slow, closing it at once would break all others off that are under way on it.
-func (d *Dialer) Call(ctx context.Context, address string, timeout time.Duration, call func(context.Context, twpeer.PeerClient) error) error {
+// An open connection can stay unresponsive for good while new ones work; a call that exceeds its timeout is the
+// symptom. The next call then opens a new connection. The old one is closed later: if only one call was slow, closing
+// it at once would break the other calls on it.
+func (d *Dialer) Call(
+	ctx context.Context, address string, timeout time.Duration, call func(context.Context, twpeer.PeerClient) error,
+) error {
 	connection, err := d.connection(address)
 	if err != nil {
 		return err
 	}
-	inner, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err = call(inner, twpeer.NewPeerClient(connection))
-	if silent(err) && ctx.Err() == nil {
-		d.drop(address, connection)
+	err = call(callCtx, twpeer.NewPeerClient(connection))
+	if isUnresponsive(err) && ctx.Err() == nil {
+		d.replace(address, connection)
 	}
 	if err != nil {
 		return fmt.Errorf("call peer %s: %w", address, err)
@@ -66,10 +68,10 @@
 	return nil
 }
 
-// StatsHandler counts the bytes of peer traffic; a peer server uses it as well.
+// StatsHandler returns the handler that counts the bytes of peer traffic; the peer server uses it as well.
 func (d *Dialer) StatsHandler() stats.Handler { return d.traffic }
 
-// Close closes all connections.
+// Close closes all connections that are in use; replaced ones are closed after closeDelay.
 func (d *Dialer) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,6 +81,7 @@
 	}
 }
 
+// connection returns the connection to the address, a new one if there is none.
 func (d *Dialer) connection(address string) (*grpc.ClientConn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,16 +99,18 @@
 	return connection, nil
 }
 
-func (d *Dialer) drop(address string, connection *grpc.ClientConn) {
+// replace makes the next call to the address open a new connection.
+func (d *Dialer) replace(address string, connection *grpc.ClientConn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.connections[address] == connection {
 		delete(d.connections, address)
-		time.AfterFunc(closeAfter, func() { _ = connection.Close() })
+		time.AfterFunc(closeDelay, func() { _ = connection.Close() })
 	}
 }
 
-func silent(err error) bool {
+// isUnresponsive reports whether the error means that the peer did not answer on this connection.
+func isUnresponsive(err error) bool {
 	code := status.Code(err)
 	return code == codes.DeadlineExceeded || code == codes.Unavailable
 }
--- a/internal/membership/twdialer/dialer_test.go
+++ b/internal/membership/twdialer/dialer_test.go
@@ -15,7 +15,7 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twpeer"
 )
 
-// peer answers Inquire when it is let, and Hold never.
+// peer answers Inquire once answer is closed, and never answers Hold.
 type peer struct {
 	twpeer.UnimplementedPeerServer
 	answer chan struct{}
@@ -31,9 +31,9 @@
 	return nil, ctx.Err()
 }
 
-// One call to a peer ends by its deadline, while another is under way on the same connection and takes its
-// time. The first makes the dialer leave the connection; the second still gets its answer.
-func TestSlowCallDoesNotBreakOthersOff(t *testing.T) {
+// One call to a peer exceeds its timeout while another is under way on the same connection. The first makes the
+// dialer replace the connection; the second must still get its answer.
+func TestSlowCallDoesNotBreakOtherCalls(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/membership/twdialer/traffic.go
+++ b/internal/membership/twdialer/traffic.go
@@ -8,22 +8,23 @@
 	"google.golang.org/grpc/stats"
 )
 
-// traffic counts what the peer protocol costs, in all and for each of its calls, so that the capacity page
-// can be checked on a real fleet.
+// traffic counts the bytes and messages of the peer protocol, in total and by method, so that the capacity page can
+// be checked on a real fleet. It implements stats.Handler.
 type traffic struct {
 	registry metrics.Registry
-	all      counters
+	total    counters
 }
 
-// counters count the payload and headers of messages, on both sides of a call.
+// counters count the payload and headers of messages on both sides of a call. Messages are those with a payload.
 type counters struct {
 	bytesIn, bytesOut, messages metrics.Counter
 }
 
+// methodKey is the context key of a method's counters.
 type methodKey struct{}
 
 func newTraffic(registry metrics.Registry) *traffic {
-	return &traffic{registry: registry, all: newCounters("control", registry)}
+	return &traffic{registry: registry, total: newCounters("control", registry)}
 }
 
 func newCounters(name string, registry metrics.Registry) counters {
@@ -34,12 +35,14 @@
 	}
 }
 
-func (c counters) in(length int) {
+// countIn counts a received message; length is its size on the wire in bytes.
+func (c counters) countIn(length int) {
 	c.bytesIn.Inc(int64(length))
 	c.messages.Inc(1)
 }
 
-func (c counters) out(length int) {
+// countOut counts a sent message; length is its size on the wire in bytes.
+func (c counters) countOut(length int) {
 	c.bytesOut.Inc(int64(length))
 	c.messages.Inc(1)
 }
@@ -55,13 +58,13 @@
 	}
 	switch e := event.(type) {
 	case *stats.InPayload:
-		t.all.in(e.WireLength)
-		method.in(e.WireLength)
+		t.total.countIn(e.WireLength)
+		method.countIn(e.WireLength)
 	case *stats.OutPayload:
-		t.all.out(e.WireLength)
-		method.out(e.WireLength)
+		t.total.countOut(e.WireLength)
+		method.countOut(e.WireLength)
 	case *stats.InHeader:
-		t.all.bytesIn.Inc(int64(e.WireLength))
+		t.total.bytesIn.Inc(int64(e.WireLength))
 		method.bytesIn.Inc(int64(e.WireLength))
 	}
 }
