--- a/internal/membership/twplanfeed/follower.go
+++ b/internal/membership/twplanfeed/follower.go
@@ -1,4 +1,5 @@
-// Package twplanfeed keeps the routes in step with the row that the operator writes.
+// Package twplanfeed applies the row that the operator writes to this daemon's routes. It follows a watch of the
+// table; requests are routed by the plan that it applies.
 package twplanfeed
 
 import (
@@ -8,25 +9,25 @@
 	"github.com/turmericwall/turmericwall/internal/routing/twroutes"
 )
 
-// Config says what the follower works with.
+// Config holds the row's key, the routes to update and the decoder.
 type Config struct {
-	// Key is the row that holds the plan.
+	// Key is the key of the row that holds the plan.
 	Key      string
 	Routes   *twroutes.Table
 	Decoder  turmericwall.Decoder
 	Recorder turmericwall.Recorder
 }
 
-// Follower applies the operator's row to the routes.
+// Follower applies the operator's row to the routes. It implements twwatch.Follower.
 type Follower struct{ config Config }
 
-// New returns a follower.
+// New returns a follower that has applied no row.
 func New(config Config) *Follower { return &Follower{config: config} }
 
-// Reset takes all rows.
+// Reset applies a listing of all rows.
 func (f *Follower) Reset(now time.Time, snapshot turmericwall.Snapshot) { f.Change(now, snapshot) }
 
-// Change takes changed rows. A dropped or unreadable row leaves the plan in force.
+// Change applies changed rows. A removed or unreadable row leaves the plan in force; an unreadable one is logged.
 func (f *Follower) Change(_ time.Time, snapshot turmericwall.Snapshot) {
 	for _, row := range snapshot.Rows {
 		if row.Key != f.config.Key || row.Dropped {
@@ -44,12 +45,12 @@
 	}
 }
 
-// StoreUnavailable tells that the row can't be read.
+// StoreUnavailable logs that the row cannot be read.
 func (f *Follower) StoreUnavailable(err error) {
 	f.config.Recorder.Record(turmericwall.EventStoreUnavailable).Str("table", "plan").Err(err).Send()
 }
 
-// StoreRegained tells that the row can be read again.
+// StoreRegained logs that the row can be read again.
 func (f *Follower) StoreRegained(time.Time, time.Time) {
 	f.config.Recorder.Record(turmericwall.EventStoreRegained).Str("table", "plan").Send()
 }
