--- a/internal/membership/twupstreamfeed/follower.go
+++ b/internal/membership/twupstreamfeed/follower.go
@@ -1,4 +1,5 @@
-// Package twupstreamfeed keeps the view of upstreams in step with the rows that they write.
+// Package twupstreamfeed applies the rows that upstreams write to this daemon's view of upstreams. It follows a watch
+// of the table; calls are placed on the upstreams in that view.
 package twupstreamfeed
 
 import (
@@ -8,22 +9,23 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twupstreams"
 )
 
-// Config says what the follower works with.
+// Config holds the view to update and the decoder of rows.
 type Config struct {
 	View     *twupstreams.View
 	Decoder  turmericwall.Decoder
 	Recorder turmericwall.Recorder
-	// Changed is called after each change; it may be nil.
+	// Changed is called after each update of the view; it may be nil.
 	Changed func()
 }
 
-// Follower applies rows to the view. Rows that can't be read name no upstream and are skipped.
+// Follower applies rows to the view. It implements twwatch.Follower. A row that cannot be decoded counts as removed
+// and is logged.
 type Follower struct{ config Config }
 
-// New returns a follower.
+// New returns a follower that has applied no row.
 func New(config Config) *Follower { return &Follower{config: config} }
 
-// Reset takes all rows.
+// Reset applies a listing of all rows.
 func (f *Follower) Reset(now time.Time, snapshot turmericwall.Snapshot) {
 	var list []turmericwall.Upstream
 	for _, row := range snapshot.Rows {
@@ -32,10 +34,10 @@
 		}
 	}
 	f.config.View.List(now, snapshot.Version, list)
-	f.changed()
+	f.notifyChanged()
 }
 
-// Change takes changed rows.
+// Change applies changed rows.
 func (f *Follower) Change(now time.Time, snapshot turmericwall.Snapshot) {
 	for _, row := range snapshot.Rows {
 		upstream, ok := f.decode(row)
@@ -45,23 +47,25 @@
 		}
 		f.config.View.Put(row.Version, upstream)
 	}
-	f.changed()
+	f.notifyChanged()
 }
 
-// StoreUnavailable tells that the rows can't be read.
+// StoreUnavailable records and logs that the rows cannot be read.
 func (f *Follower) StoreUnavailable(err error) {
 	f.config.View.MarkUnavailable()
 	f.config.Recorder.Record(turmericwall.EventStoreUnavailable).Str("table", "upstreams").
 		Int("version", f.config.View.Version()).Err(err).Send()
 }
 
-// StoreRegained tells that the rows can be read again.
+// StoreRegained records and logs that the rows can be read again; they were last read at lastReadAt.
 func (f *Follower) StoreRegained(now, lastReadAt time.Time) {
 	f.config.View.MarkAvailable(now, lastReadAt)
 	f.config.Recorder.Record(turmericwall.EventStoreRegained).Str("table", "upstreams").
 		Int("version", f.config.View.Version()).Send()
 }
 
+// decode returns the upstream of a row, or false if the row was removed or cannot be decoded. Both, and a leaving
+// upstream, are logged.
 func (f *Follower) decode(row turmericwall.FeedRow) (turmericwall.Upstream, bool) {
 	if row.Dropped {
 		f.config.Recorder.Record(turmericwall.EventVMLeaving).Str("upstream", row.Key).Str("state", "removed").
@@ -81,7 +85,8 @@
 	return upstream, true
 }
 
-func (f *Follower) changed() {
+// notifyChanged calls Changed, if it is set.
+func (f *Follower) notifyChanged() {
 	if f.config.Changed != nil {
 		f.config.Changed()
 	}
