--- a/internal/membership/twcluster/cluster.go
+++ b/internal/membership/twcluster/cluster.go
@@ -1,6 +1,6 @@
 // Package twcluster tracks which daemons are live. The leader sends heartbeats to all other daemons; a heartbeat
-// names the leader and its standbys, and carries state that every daemon needs at its next placement. The package
-// stands beside a request's way: placement, quotas and the plan follow the leader that it reports.
+// names the leader and its standbys, and carries state that every daemon needs at its next placement. The package is
+// not on a request's path, but placement, quotas and the plan follow the leader that it reports.
 package twcluster
 
 import (
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -78,7 +78,9 @@
 	return turmericwall.Snapshot{}, errors.New("not used")
 }
 
-func (s *store) Swap(_ context.Context, table, key string, ifVersion int64, value []byte) (int64, turmericwall.FeedRow, bool, error) {
+func (s *store) Swap(
+	_ context.Context, table, key string, ifVersion int64, value []byte,
+) (int64, turmericwall.FeedRow, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unavailable || (s.refusedDaemon != "" && strings.Contains(string(value), `"name":"`+s.refusedDaemon+`"`)) {
@@ -108,7 +110,9 @@
 	partitioned map[string]bool
 }
 
-func (n *network) Heartbeat(_ context.Context, address string, heartbeat turmericwall.Heartbeat) (turmericwall.HeartbeatReply, error) {
+func (n *network) Heartbeat(
+	_ context.Context, address string, heartbeat turmericwall.Heartbeat,
+) (turmericwall.HeartbeatReply, error) {
 	n.mu.Lock()
 	cluster, ok := n.clusters[address]
 	partitioned := n.partitioned[address] || n.partitioned[heartbeat.Leader.Address]
@@ -212,7 +216,8 @@
 	self := turmericwall.Member{Name: name, Address: name, Incarnation: name + "1"}
 	d.proof = twproof.New(twproof.Config{Incarnation: self.Incarnation})
 	d.election = twelection.New(twelection.Config{
-		Store: s, Self: self, Recorder: log, Apart: time.Second, Patience: func() time.Duration { return electionDelay },
+		Store: s, Self: self, Recorder: log, Apart: time.Second,
+		Patience:    func() time.Duration { return electionDelay },
 		LeaderHeard: func() bool { return d.cluster.Informed() },
 		Ready:       func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !d.stopping },
 		Elected:     func() { d.cluster.Elected() },
--- a/internal/membership/twcluster/heartbeats.go
+++ b/internal/membership/twcluster/heartbeats.go
@@ -64,7 +64,8 @@
 // held.
 func (c *Cluster) nominee() turmericwall.Member {
 	stopping := c.config.Stopping != nil && c.config.Stopping()
-	expired := c.config.LeaseExpired != nil && c.config.LeaseExpired() && time.Since(c.config.ReadAt()) > c.config.Staleness
+	expired := c.config.LeaseExpired != nil && c.config.LeaseExpired() &&
+		time.Since(c.config.ReadAt()) > c.config.Staleness
 	if !stopping && !expired {
 		return turmericwall.Member{}
 	}
--- a/internal/membership/twcluster/proof_test.go
+++ b/internal/membership/twcluster/proof_test.go
@@ -25,7 +25,8 @@
 	readAt := twboottime.Now()
 	leader.proof.Confirm(readAt)
 	g.Eventually(func() int64 { return b.proof.AgeMillis(twboottime.Now()) }, "3s").Should(BeNumerically(">=", 0))
-	g.Consistently(func() bool { return b.proof.Covers(readAt + 1) }, "600ms").Should(BeFalse(), "a proof must not get newer in transit")
+	g.Consistently(func() bool { return b.proof.Covers(readAt + 1) }, "600ms").
+		Should(BeFalse(), "a proof must not get newer in transit")
 }
 
 // Guards against a leader that is partitioned from the store and lets its proof expire although a standby reads the
@@ -66,9 +67,11 @@
 	newReadingCluster := func() *twcluster.Cluster {
 		proof := twproof.New(twproof.Config{Incarnation: "a1"})
 		return twcluster.New(twcluster.Config{
-			Self: turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"}, Proof: proof, Peers: recording{sent: sent},
-			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Leading: func() (int64, bool) { return 1, true },
-			ReadAt: func() time.Time { return time.Time{} }, LeaseVersion: none, UpstreamsPosition: none,
+			Self:  turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"},
+			Proof: proof, Peers: recording{sent: sent},
+			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+			Leading:  func() (int64, bool) { return 1, true },
+			ReadAt:   func() time.Time { return time.Time{} }, LeaseVersion: none, UpstreamsPosition: none,
 			PlanVersion: func() int64 {
 				proof.Confirm(twboottime.Now())
 				return 0
@@ -93,7 +96,9 @@
 	sent chan turmericwall.Heartbeat
 }
 
-func (r recording) Heartbeat(_ context.Context, _ string, heartbeat turmericwall.Heartbeat) (turmericwall.HeartbeatReply, error) {
+func (r recording) Heartbeat(
+	_ context.Context, _ string, heartbeat turmericwall.Heartbeat,
+) (turmericwall.HeartbeatReply, error) {
 	select {
 	case r.sent <- heartbeat:
 	default:
--- a/internal/membership/twcluster/standbys_test.go
+++ b/internal/membership/twcluster/standbys_test.go
@@ -133,7 +133,8 @@
 	b := start(t, s, n, "b")
 	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
 	a.cluster.Join(turmericwall.Member{Address: "late"})
-	g.Eventually(func() []string { _, list := b.cluster.Members(); return list }, "2s").Should(ConsistOf("a", "b", "late"))
+	g.Eventually(func() []string { _, list := b.cluster.Members(); return list }, "2s").
+		Should(ConsistOf("a", "b", "late"))
 }
 
 // A draining daemon must be replaced as a standby before it terminates; else no daemon takes the lease when the
@@ -170,7 +171,8 @@
 	election := twelection.New(twelection.Config{
 		Store: s, Self: turmericwall.Member{Name: "a", Address: "a", Incarnation: "a2"}, Apart: time.Second,
 		Recorder:    tweventlog.New(tweventlog.Config{Output: io.Discard}),
-		LeaderHeard: func() bool { return false }, Ready: func() bool { return true }, Seeks: func() bool { return false },
+		LeaderHeard: func() bool { return false }, Ready: func() bool { return true },
+		Seeks:    func() bool { return false },
 		Patience: func() time.Duration { return time.Hour },
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -178,7 +180,8 @@
 	go func() { ended <- election.Run(ctx) }()
 	defer func() { stop(); <-ended }()
 	election.Restarted(version, turmericwall.Member{Name: "b", Address: "b", Incarnation: "b1"})
-	g.Consistently(func() bool { _, ok := election.Holds(); return ok }, "300ms").Should(BeFalse(), "another daemon holds the lease")
+	g.Consistently(func() bool { _, ok := election.Holds(); return ok }, "300ms").
+		Should(BeFalse(), "another daemon holds the lease")
 	election.Restarted(version, turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"})
 	g.Eventually(func() bool { _, ok := election.Holds(); return ok }, "1s").Should(BeTrue())
 }
--- a/internal/membership/twelection/election.go
+++ b/internal/membership/twelection/election.go
@@ -1,6 +1,6 @@
 // Package twelection elects the leader: it takes, renews and releases the leader's lease, a row in the store. The
-// rules of the lease are in package twlease; this package reads and writes the row. It stands beside a request's way:
-// the leader that it elects places calls and orders engines.
+// rules of the lease are in package twlease; this package reads and writes the row. It is not on a request's path,
+// but the leader that it elects places calls and orders engines.
 package twelection
 
 import (
@@ -102,7 +102,7 @@
 }
 
 // Restarted applies the lease's row as a peer saw it. If the row names an earlier incarnation of this daemon, this
-// daemon takes the lease at once: any other daemon has to wait until the row has not changed for some time.
+// daemon takes the lease at once: any other daemon would have to wait for the takeover timeout of package twlease.
 func (e *Election) Restarted(version int64, holder turmericwall.Member) {
 	if holder.Name != e.config.Self.Name || holder == e.config.Self {
 		return
--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -19,13 +19,17 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twroster"
 )
 
-// A small number of peers costs little and spreads heartbeats fast. With more peers, one peer per interval keeps the
-// control traffic within its limit.
+// Few peers cost little and spread heartbeats fast. With more peers, one peer in each round keeps the control traffic
+// within its limit.
 const (
+	// heartbeatInterval is the time between two rounds.
 	heartbeatInterval = time.Second
-	callTimeout       = time.Second
-	smallFleetPeers   = 12
-	smallFleetFanout  = 3
+	// callTimeout is the time limit of a call that the peer answers without waiting.
+	callTimeout = time.Second
+	// smallFleetPeers is the largest number of peers that counts as small, and smallFleetFanout how many of them get
+	// heartbeats in each round.
+	smallFleetPeers  = 12
+	smallFleetFanout = 3
 )
 
 // Exchange implements turmericwall.Peers. It is safe for concurrent use.
--- a/internal/membership/twlease/lease_test.go
+++ b/internal/membership/twlease/lease_test.go
@@ -16,17 +16,22 @@
 
 var start = twboottime.Moment(time.Hour)
 
+// lease returns the lease of the named daemon's first incarnation.
 func lease(name string) *twlease.Lease {
 	return twlease.New(twlease.Config{
 		Self: turmericwall.Member{Name: name, Incarnation: name + "1"}, OrderGap: orderGap,
 	})
 }
 
+// row returns the row that the named daemon's first incarnation holds.
 func row(name string, fence int64) []byte {
-	value, _ := json.Marshal(twlease.Row{Holder: turmericwall.Member{Name: name, Incarnation: name + "1"}, Fence: fence})
+	value, _ := json.Marshal(twlease.Row{
+		Holder: turmericwall.Member{Name: name, Incarnation: name + "1"}, Fence: fence,
+	})
 	return value
 }
 
+// takeOrRenew writes the row, which must be due, and confirms the write with the version.
 func takeOrRenew(g *WithT, l *twlease.Lease, at twboottime.Moment, version int64) {
 	write, due := l.NextWrite(at)
 	g.Expect(due).To(BeTrue())
--- a/internal/membership/twpeer/codec.go
+++ b/internal/membership/twpeer/codec.go
@@ -105,7 +105,9 @@
 func DecodeEndings(m *FinishRequest) []turmericwall.Ending {
 	endings := make([]turmericwall.Ending, 0, len(m.GetEndings()))
 	for _, e := range m.GetEndings() {
-		endings = append(endings, turmericwall.Ending{Service: e.GetService(), Attempt: e.GetAttempt(), FailedEngine: e.GetFailedEngine()})
+		endings = append(endings, turmericwall.Ending{
+			Service: e.GetService(), Attempt: e.GetAttempt(), FailedEngine: e.GetFailedEngine(),
+		})
 	}
 	return endings
 }
@@ -115,7 +117,8 @@
 	m := &FetchVMsReply{}
 	for _, vm := range vms {
 		m.Vms = append(m.Vms, &ListedVM{
-			Name: vm.Name, Service: vm.Service, Region: vm.Region, Zone: vm.Zone, Address: vm.Address, State: string(vm.State),
+			Name: vm.Name, Service: vm.Service, Region: vm.Region, Zone: vm.Zone,
+			Address: vm.Address, State: string(vm.State),
 		})
 	}
 	return m
--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -50,7 +50,9 @@
 }
 
 // State requests routes and upstreams from a daemon.
-func (c *Client) State(ctx context.Context, address string, ask turmericwall.StateAsk) (turmericwall.SharedState, error) {
+func (c *Client) State(
+	ctx context.Context, address string, ask turmericwall.StateAsk,
+) (turmericwall.SharedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply wireState
@@ -112,7 +114,9 @@
 }
 
 // Admit requests sends to an upstream that states a rate from the rate coordinator. Its time limit is that of ctx.
-func (c *Client) Admit(ctx context.Context, address string, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+func (c *Client) Admit(
+	ctx context.Context, address string, ask turmericwall.AdmitAsk,
+) (turmericwall.AdmitReply, error) {
 	var reply turmericwall.AdmitReply
 	return reply, c.call(ctx, address, pathAdmit, ask, &reply)
 }
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -33,12 +33,16 @@
 		proof := twproof.New(twproof.Config{Incarnation: "i", MaxAge: time.Second})
 		quotas := twquota.New(twquota.Config{
 			Account: func(name string) (turmericwall.ClientAccount, bool) {
-				return turmericwall.ClientAccount{Name: name, Quota: turmericwall.Quota{PerSecond: 10, Burst: 10, CountsTokens: true}}, true
+				return turmericwall.ClientAccount{
+					Name: name, Quota: turmericwall.Quota{PerSecond: 10, Burst: 10, CountsTokens: true},
+				}, true
 			},
 			Leading: func() bool { return true }, Led: func() bool { return false }, Daemons: func() int { return 1 },
 			Absent: func() int { return 0 }, Random: func() float64 { return 0 }, Now: time.Now,
 		})
-		rates := twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: time.Now})
+		rates := twrates.New(twrates.Config{
+			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: time.Now,
+		})
 		throttle := twthrottle.New(twthrottle.Config{
 			Rates: rates, Leader: func() (turmericwall.Member, bool, bool) { return turmericwall.Member{}, true, true },
 			Daemons: func() int { return 1 }, Absent: func() int { return 0 }, Now: time.Now,
@@ -56,7 +60,8 @@
 			},
 			State: func(ask turmericwall.StateAsk) turmericwall.SharedState {
 				if ask.Joining != nil {
-					quotas.Report(ask.Joining.Incarnation, time.Duration(ask.Joining.UpMillis)*time.Millisecond, ask.Joining.Uses)
+					quotas.Report(
+						ask.Joining.Incarnation, time.Duration(ask.Joining.UpMillis)*time.Millisecond, ask.Joining.Uses)
 				}
 				return turmericwall.SharedState{}
 			},
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -29,7 +29,8 @@
 	now := time.Now()
 	return turmericwall.PlaceAsk{
 		ID: "1/0", Service: "s", Owner: "o", Zone: "z", Work: turmericwall.ModelWork{PromptTokens: 10, Subject: "x"},
-		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(2 * time.Second), CallerDeadline: now.Add(3 * time.Second),
+		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(2 * time.Second),
+		CallerDeadline: now.Add(3 * time.Second),
 		EventGapMillis: 300, Moving: true, Avoid: []string{"e"},
 	}
 }
@@ -52,7 +53,8 @@
 	})
 	got, err := twpeerhttp.NewClient().Place(context.Background(), address, want)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect([]any{got.ID, got.Decode.ID, got.ReserveTokens, got.Late, got.Reason}).To(Equal([]any{"1/0", "d", 7, true, "r"}))
+	g.Expect([]any{got.ID, got.Decode.ID, got.ReserveTokens, got.Late, got.Reason}).
+		To(Equal([]any{"1/0", "d", 7, true, "r"}))
 	g.Expect(got.ReadDeadline).To(BeTemporally("~", time.Now().Add(time.Second), 300*time.Millisecond))
 }
 
@@ -61,12 +63,15 @@
 	address := serve(t, twpeerhttp.Config{
 		Keeps: func() bool { return true },
 		Place: func(context.Context, turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-			return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{Reason: "full", RetryAt: time.Now().Add(2 * time.Second)})
+			return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{
+				Reason: "full", RetryAt: time.Now().Add(2 * time.Second),
+			})
 		},
 	})
 	_, err := twpeerhttp.NewClient().Place(context.Background(), address, placeRequest())
 	g.Expect(turmericwall.IsKind(err, turmericwall.KindOverloaded)).To(BeTrue())
-	g.Expect(err.(*turmericwall.Problem).RetryAt()).To(BeTemporally("~", time.Now().Add(2*time.Second), 300*time.Millisecond))
+	g.Expect(err.(*turmericwall.Problem).RetryAt()).
+		To(BeTemporally("~", time.Now().Add(2*time.Second), 300*time.Millisecond))
 }
 
 // A daemon requests a placement from one that is no longer the leader. It must be refused: the former leader gets no
@@ -82,12 +87,17 @@
 	g := NewWithT(t)
 	var ended []turmericwall.PlacementEnd
 	var adopted []turmericwall.PlacedRun
-	me := turmericwall.HeartbeatReply{Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UpMillis: 7}
-	state := turmericwall.SharedState{Plan: &turmericwall.RoutePlan{Version: 4}, Upstreams: []turmericwall.Upstream{{ID: "u"}}, UpstreamsPosition: 9}
+	me := turmericwall.HeartbeatReply{
+		Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UpMillis: 7,
+	}
+	state := turmericwall.SharedState{
+		Plan: &turmericwall.RoutePlan{Version: 4}, Upstreams: []turmericwall.Upstream{{ID: "u"}}, UpstreamsPosition: 9,
+	}
 	address := serve(t, twpeerhttp.Config{
 		Heard: func(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 			g.Expect(heartbeat.Term).To(BeEquivalentTo(3))
-			g.Expect(heartbeat.Changing).To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}}))
+			g.Expect(heartbeat.Changing).
+				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}}))
 			return me
 		},
 		State: func(ask turmericwall.StateAsk) turmericwall.SharedState {
@@ -98,9 +108,13 @@
 		Adopt:  func(run turmericwall.PlacedRun) { adopted = append(adopted, run) },
 	})
 	c, ctx := twpeerhttp.NewClient(), context.Background()
-	g.Expect(c.Finish(ctx, address, []turmericwall.PlacementEnd{{ID: "1", Running: true, PromptRead: true, PromptMillis: 5}})).To(Succeed())
+	g.Expect(c.Finish(ctx, address, []turmericwall.PlacementEnd{
+		{ID: "1", Running: true, PromptRead: true, PromptMillis: 5},
+	})).To(Succeed())
 	g.Expect(ended).To(Equal([]turmericwall.PlacementEnd{{ID: "1", Running: true, PromptRead: true, PromptMillis: 5}}))
-	g.Expect(c.Runs(ctx, address, []turmericwall.PlacedRun{{Ask: placeRequest(), Engine: "d", AgeMillis: -40}})).To(Succeed())
+	g.Expect(c.Runs(ctx, address, []turmericwall.PlacedRun{
+		{Ask: placeRequest(), Engine: "d", AgeMillis: -40},
+	})).To(Succeed())
 	g.Expect([]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Ask.ID}).To(Equal([]any{"d", int64(-40), "1/0"}))
 	got, err := c.Heartbeat(ctx, address, turmericwall.Heartbeat{
 		Term: 3, Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}},
@@ -116,7 +130,8 @@
 		_, _ = io.WriteString(w, `{"packedPlan":"AAAA"}`)
 	}))
 	defer server.Close()
-	_, err := twpeerhttp.NewClient().State(context.Background(), strings.TrimPrefix(server.URL, "http://"), turmericwall.StateAsk{})
+	_, err := twpeerhttp.NewClient().
+		State(context.Background(), strings.TrimPrefix(server.URL, "http://"), turmericwall.StateAsk{})
 	g.Expect(err).To(MatchError(ContainSubstring("unpack the plan")))
 }
 
@@ -126,7 +141,9 @@
 	g := NewWithT(t)
 	state := turmericwall.SharedState{UpstreamsPosition: 9}
 	for n := range 3000 {
-		state.Upstreams = append(state.Upstreams, turmericwall.Upstream{ID: fmt.Sprint("i-", n), Service: "s", Address: fmt.Sprint("10.0.0.1:", n), Zone: "z"})
+		state.Upstreams = append(state.Upstreams, turmericwall.Upstream{
+			ID: fmt.Sprint("i-", n), Service: "s", Address: fmt.Sprint("10.0.0.1:", n), Zone: "z",
+		})
 	}
 	address := serve(t, twpeerhttp.Config{State: func(turmericwall.StateAsk) turmericwall.SharedState { return state }})
 	response, err := http.Post("http://"+address+"/peer/state", "application/json", strings.NewReader("{}"))
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -181,7 +181,9 @@
 	}
 	now := time.Now()
 	for _, r := range runs {
-		s.config.Adopt(turmericwall.PlacedRun{Ask: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis})
+		s.config.Adopt(turmericwall.PlacedRun{
+			Ask: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis,
+		})
 	}
 	writeJSON(w, struct{}{})
 }
--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -84,7 +84,9 @@
 func (m *model) send(to int) {
 	leader, d := m.daemons[m.leader], m.daemons[to]
 	if to != m.leader && len(d.inbox) < 2 {
-		d.inbox = append(d.inbox, message{ageMillis: leader.proof.AgeMillis(m.now), version: leader.version, echo: d.echoes[m.leader]})
+		d.inbox = append(d.inbox, message{
+			ageMillis: leader.proof.AgeMillis(m.now), version: leader.version, echo: d.echoes[m.leader],
+		})
 	}
 }
 
--- a/internal/membership/twproof/proof.go
+++ b/internal/membership/twproof/proof.go
@@ -2,7 +2,7 @@
 // consults it before it admits or refuses a caller's key.
 //
 // It has no clock and does no I/O. Times are by the clock that also runs while a VM is suspended: by the monotonic
-// clock a daemon that was suspended would take its state for newer than it is, and admit keys that have been removed.
+// clock a daemon that was suspended would treat its state as newer than it is, and admit keys that have been removed.
 package twproof
 
 import (
--- a/internal/membership/twproof/proof_test.go
+++ b/internal/membership/twproof/proof_test.go
@@ -73,6 +73,7 @@
 	g := NewWithT(t)
 	p := newProof()
 	p.ConfirmAged(at(1000), math.MaxInt64)
-	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-1", Moment: int64(at(1000))}, math.MaxInt64/int64(time.Millisecond)+1)
+	p.ConfirmEcho(
+		at(9000), turmericwall.Echo{Incarnation: "i-1", Moment: int64(at(1000))}, math.MaxInt64/int64(time.Millisecond)+1)
 	g.Expect(p.AgeMillis(at(9000))).To(BeEquivalentTo(-1))
 }
--- a/internal/membership/twrates/rates.go
+++ b/internal/membership/twrates/rates.go
@@ -36,8 +36,8 @@
 	config     Config
 	mu         sync.Mutex
 	statements map[turmericwall.UpstreamKey]*statement
-	// hasStatements spares callers the lock: usually there are no statements, and each placement reads the rates of
-	// all engines.
+	// hasStatements lets callers skip the lock: usually there are no statements, and each placement reads the rates
+	// of all engines.
 	hasStatements atomic.Bool
 }
 
--- a/internal/membership/twrates/rates_test.go
+++ b/internal/membership/twrates/rates_test.go
@@ -49,7 +49,7 @@
 		{"no longer stated", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, -1)}, 0, false},
 		{"stated again", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, -1), answer(60, 2)}, 2, true},
 		{"lowered at once", []turmericwall.UpstreamStatement{answer(20, 3), answer(21, 1)}, 1, true},
-		{"raised by an answer to an earlier call", []turmericwall.UpstreamStatement{answer(20, 3), answer(21, 9)}, 3, true},
+		{"raised by an earlier call's answer", []turmericwall.UpstreamStatement{answer(20, 3), answer(21, 9)}, 3, true},
 		{"raised", []turmericwall.UpstreamStatement{answer(20, 3), answer(31, 9)}, 9, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/membership/twseeker/seeker.go
+++ b/internal/membership/twseeker/seeker.go
@@ -1,5 +1,5 @@
-// Package twseeker finds the leader through peers while this daemon has no live leader. It stands beside a request's
-// way: until a leader is found, calls are placed locally.
+// Package twseeker finds the leader through peers while this daemon has no live leader. It is not on a request's
+// path, but calls are placed locally until a leader is found.
 package twseeker
 
 import (
--- a/internal/membership/twsource/source.go
+++ b/internal/membership/twsource/source.go
@@ -1,6 +1,6 @@
 // Package twsource decides where a daemon gets routes and upstreams from: the leader's heartbeats, a query to a peer,
-// or its own reads of the store. It has no clock and does no I/O. It stands beside a request's way and keeps the
-// state current by which requests are served.
+// or its own reads of the store. It has no clock and does no I/O. It is not on a request's path, but requests are
+// served by the state that it keeps current.
 package twsource
 
 import (
--- a/internal/membership/twsource/source_test.go
+++ b/internal/membership/twsource/source_test.go
@@ -106,7 +106,9 @@
 	f := newFleet(300, 3)
 	lostAt := start.Add(time.Minute)
 	f.observe = func(daemon int, _ time.Time) twsource.Observation {
-		return twsource.Observation{Leader: daemon == 0, Standby: daemon == 1 || daemon == 2, LeaderLive: true, FreshAt: lostAt, Daemons: 300}
+		return twsource.Observation{
+			Leader: daemon == 0, Standby: daemon == 1 || daemon == 2, LeaderLive: true, FreshAt: lostAt, Daemons: 300,
+		}
 	}
 	f.readable = func(int, time.Time) bool { return false }
 	_, readers := f.simulate(lostAt, lostAt.Add(8*time.Second))
@@ -124,7 +126,9 @@
 			f.sources = append(f.sources, newSource(false, random.Float64))
 		}
 		lostAt := start.Add(time.Minute)
-		f.observe = func(int, time.Time) twsource.Observation { return twsource.Observation{FreshAt: lostAt, Daemons: n} }
+		f.observe = func(int, time.Time) twsource.Observation {
+			return twsource.Observation{FreshAt: lostAt, Daemons: n}
+		}
 		f.readable = func(int, time.Time) bool { return false }
 		f.peerIsUseful = func(int) bool { return false }
 		reads, _ := f.simulate(lostAt, lostAt.Add(8*time.Second))
--- a/internal/membership/twupstreams/view_test.go
+++ b/internal/membership/twupstreams/view_test.go
@@ -86,7 +86,9 @@
 	leader.Remove(start, 8, "b")
 	leader.Put(9, upstream("c", false))
 	put, removed, position, ok := leader.Since(listedPosition)
-	g.Expect([]any{put, removed, position, ok}).To(Equal([]any{[]turmericwall.Upstream{upstream("a", true), upstream("c", false)}, []string{"b"}, leader.Position(), true}))
+	g.Expect([]any{put, removed, position, ok}).To(Equal([]any{
+		[]turmericwall.Upstream{upstream("a", true), upstream("c", false)}, []string{"b"}, leader.Position(), true,
+	}))
 	follower.Follow(position, put, removed)
 	g.Expect(follower.All()).To(Equal(leader.All()))
 	g.Expect(follower.Version()).To(BeEquivalentTo(9))
--- a/internal/membership/twwatch/watch.go
+++ b/internal/membership/twwatch/watch.go
@@ -1,5 +1,5 @@
 // Package twwatch follows one small table of the store through outages and lost history. It lists all rows once and
-// then waits for changes; followers apply both. It stands beside a request's way: routes and upstreams come through
+// then waits for changes; followers apply both. It is not on a request's path, but routes and upstreams come through
 // it.
 package twwatch
 
--- a/internal/membership/twwatch/watch_test.go
+++ b/internal/membership/twwatch/watch_test.go
@@ -124,7 +124,10 @@
 // at once, or calls are still sent to the upstream that left.
 func TestLostHistoryCausesNewListing(t *testing.T) {
 	g := NewWithT(t)
-	f := &feed{lists: []turmericwall.Snapshot{snapshot(5, 2), snapshot(9, 1)}, changes: []any{turmericwall.ErrHistoryLost}}
+	f := &feed{
+		lists:   []turmericwall.Snapshot{snapshot(5, 2), snapshot(9, 1)},
+		changes: []any{turmericwall.ErrHistoryLost},
+	}
 	recorded := run(t, f)
 	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "reset"}))
 }
