--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -19,7 +19,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
 )
 
-// Guards against a message of a peer that ends the daemon, or that makes a proof newer than now.
+// Guards against a message from a peer that crashes the daemon, or that makes a proof newer than now.
 func FuzzMessages(f *testing.F) {
 	f.Add("/peer/heartbeat", []byte(`{"leader":{"name":"a"},"term":3,"proofMillis":-5,"echo":{"incarnation":"i","moment":9223372036854775807},"levels":[{"account":"a","units":-9}]}`))
 	f.Add("/peer/heartbeat", []byte(`{"proofMillis":9223372036854775807,"echo":{"incarnation":"i","moment":1}}`))
@@ -33,12 +33,16 @@
 		proof := twproof.New(twproof.Config{Incarnation: "i", MaxAge: time.Second})
 		quotas := twquota.New(twquota.Config{
 			Account: func(name string) (turmericwall.ClientAccount, bool) {
-				return turmericwall.ClientAccount{Name: name, Quota: turmericwall.Quota{PerSecond: 10, Burst: 10, CountsTokens: true}}, true
+				return turmericwall.ClientAccount{
+					Name: name, Quota: turmericwall.Quota{PerSecond: 10, Burst: 10, CountsTokens: true},
+				}, true
 			},
 			Leading: func() bool { return true }, Led: func() bool { return false }, Daemons: func() int { return 1 },
 			Absent: func() int { return 0 }, Random: func() float64 { return 0 }, Now: time.Now,
 		})
-		rates := twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: time.Now})
+		rates := twrates.New(twrates.Config{
+			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: time.Now,
+		})
 		throttle := twthrottle.New(twthrottle.Config{
 			Rates: rates, Leader: func() (turmericwall.Member, bool, bool) { return turmericwall.Member{}, true, true },
 			Daemons: func() int { return 1 }, Absent: func() int { return 0 }, Now: time.Now,
@@ -48,7 +52,7 @@
 				now := twboottime.Now()
 				proof.ConfirmEcho(now, h.Echo, h.ProofMillis)
 				if age := proof.AgeMillis(now); age < -1 {
-					t.Fatalf("a proof of %d ms", age)
+					t.Fatalf("the proof has an age of %d ms", age)
 				}
 				quotas.TakeLevels(h.Leader.Incarnation, h.Levels)
 				rates.TakeList(h.Rates)
@@ -56,7 +60,8 @@
 			},
 			State: func(ask turmericwall.StateAsk) turmericwall.SharedState {
 				if ask.Joining != nil {
-					quotas.Report(ask.Joining.Incarnation, time.Duration(ask.Joining.UpMillis)*time.Millisecond, ask.Joining.Uses)
+					quotas.Report(
+						ask.Joining.Incarnation, time.Duration(ask.Joining.UpMillis)*time.Millisecond, ask.Joining.Uses)
 				}
 				return turmericwall.SharedState{}
 			},
@@ -67,7 +72,7 @@
 			Admit: func(ask turmericwall.AdmitAsk) turmericwall.AdmitReply {
 				reply := throttle.Grant(ask)
 				if reply.Granted > max(ask.Count, 0) || reply.NextMillis < 0 || reply.RetryMillis < 0 {
-					t.Fatalf("%+v was answered by %+v", ask, reply)
+					t.Fatalf("request %+v was answered by %+v", ask, reply)
 				}
 				return reply
 			},
