--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -1,4 +1,6 @@
-// Package twbooks decides which engines serve which model calls, and which calls wait or are turned away.
+// Package twbooks places the model calls of one service on its prefill and decode engines. It projects the memory and
+// the prefill backlog of each engine and decides which calls are placed, which wait and which are refused. Package
+// twcoordinator drives it for every model call before the call is sent to an engine.
 package twbooks
 
 import (
@@ -11,290 +13,302 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twpauses"
 )
 
-// Tuning holds the limits of the decisions.
+// Tuning holds the limits of the placement decisions.
 type Tuning struct {
-	// LengthQuantile is the probability with which an answer is expected to stay under its projected length.
+	// LengthQuantile is the probability with which an answer is expected to stay below its projected length.
 	LengthQuantile float64
-	// Deviations is how many standard deviations above its expectation the projected need must still fit.
+	// Deviations is how many standard deviations above its expected value the projected memory need must still fit.
 	Deviations float64
-	// MemoryShare is the part of an engine's memory that projected peaks may fill.
+	// MemoryShare is the share of an engine's memory that projected peaks may fill, 0 to 1.
 	MemoryShare float64
-	// ReserveQuantile sets the length that is reserved at the engine.
+	// ReserveQuantile is the probability with which an answer is expected to stay below the length that is reserved at
+	// the engine.
 	ReserveQuantile float64
-	// StartMarginMillis is what an answer needs beside reading its prompt before its first event arrives.
-	StartMarginMillis float64
-	// OwnReadSlowdown is how much slower a decode engine reads a prompt than a prefill engine.
-	OwnReadSlowdown float64
-	// GapShare is the part of a stream's longest pause that reading a prompt beside it may take.
-	GapShare float64
-	// LateReadWaitMillis is the wait for a prefill engine up to which a late call may use it.
-	LateReadWaitMillis float64
-	// LateShare is the part of the decode places that late calls may fill.
-	LateShare float64
-	// WaitMillis is how long a call may wait for its place: a refusal that comes later keeps its caller from trying
-	// elsewhere in time.
-	WaitMillis float64
-	// LateWaitMillis is how long a late call that came back may wait.
-	LateWaitMillis float64
-	// ClosedMillis is how long an engine that refused for want of memory is left alone.
-	ClosedMillis float64
-	// DoubtedMillis is how long an engine that may have failed a call is left alone.
-	DoubtedMillis float64
+	// FirstEventMarginMillis is the time between the end of the prefill and the first event of the answer.
+	FirstEventMarginMillis float64
+	// LocalPrefillSlowdown is the factor by which a decode engine's prefill is slower than a prefill engine's.
+	LocalPrefillSlowdown float64
+	// EventGapShare is the share of a stream's longest allowed event gap that a prefill on the same engine may take.
+	EventGapShare float64
+	// LatePrefillWaitMillis is the longest wait for a prefill engine at which a late call may still use it.
+	LatePrefillWaitMillis float64
+	// LateMemoryShare is the share of the decode memory up to which late calls are placed.
+	LateMemoryShare float64
+	// MaxWaitMillis is the longest wait of a call for its placement. A later refusal would leave its caller no time to
+	// retry.
+	MaxWaitMillis float64
+	// MaxLateRetryWaitMillis is the longest wait of a late call that is a retry.
+	MaxLateRetryWaitMillis float64
+	// FullBackoffMillis is the back-off from an engine that refused a call for lack of memory. It is multiplied by the
+	// number of such refusals, up to four.
+	FullBackoffMillis float64
+	// SuspectBackoffMillis is the back-off from an engine that is suspected of having failed a call.
+	SuspectBackoffMillis float64
 }
 
 // DefaultTuning returns the limits in use.
 func DefaultTuning() Tuning {
 	return Tuning{
-		LengthQuantile: 0.4, Deviations: 1.2, MemoryShare: 0.95, ReserveQuantile: 0.05, StartMarginMillis: 60,
-		OwnReadSlowdown: 2, GapShare: 0.8, LateReadWaitMillis: 100, LateShare: 0.8, WaitMillis: 1000, LateWaitMillis: 3000, ClosedMillis: 100, DoubtedMillis: 500,
+		LengthQuantile: 0.4, Deviations: 1.2, MemoryShare: 0.95, ReserveQuantile: 0.05, FirstEventMarginMillis: 60,
+		LocalPrefillSlowdown: 2, EventGapShare: 0.8, LatePrefillWaitMillis: 100, LateMemoryShare: 0.8,
+		MaxWaitMillis: 1000, MaxLateRetryWaitMillis: 3000, FullBackoffMillis: 100, SuspectBackoffMillis: 500,
 	}
 }
 
-// A call is swept when it lasts overdueFactor times its longest answer and overdueMillis: far more than pauses
-// and slow engines take.
+// A placed call counts as lost after overdueFactor times the duration of its longest answer plus overdueMillis, which
+// is far more than pauses and slow engines take.
 const (
 	overdueFactor = 3
 	overdueMillis = 4000
 )
 
-// forgetSpan is how long a measured reading speed counts: some prompts' time at the usual load.
-const forgetSpan = 3 * time.Second
+// speedValidity is how long a measured prefill speed is used. At the usual load an engine finishes several prompts in
+// it.
+const speedValidity = 3 * time.Second
 
-// Books keep the engines of one service. They have no clock, socket or goroutine of their own.
+// Books allocates the engines of one service to calls. It has no clock, socket or goroutine of its own and is not safe
+// for concurrent use.
 type Books struct {
 	tuning  Tuning
 	plan    turmericwall.EnginePlan
 	engines map[string]*engine
-	// places finds a run's decode engine.
-	places  map[string]string
-	waiting []*waiter
-	// answerSpeed and readSpeed are learned, in tokens a millisecond.
-	answerSpeed, readSpeed float64
-	// readAt is when readSpeed was last learned, bestSpeed the highest so far, measured whether there is one.
-	readAt    time.Time
-	bestSpeed float64
-	measured  bool
-	// partial tells that others place calls on the same engines.
+	// engineByCall is the id of each placed call's decode engine.
+	engineByCall map[string]string
+	waiting      []*waitingCall
+	// decodeSpeed is the measured speed of one answer and prefillSpeed that of a prefill engine, in tokens per
+	// millisecond.
+	decodeSpeed, prefillSpeed float64
+	// prefillSpeedAt is when prefillSpeed was last measured, bestPrefillSpeed the highest measured so far;
+	// prefillMeasured is set with the first measurement.
+	prefillSpeedAt   time.Time
+	bestPrefillSpeed float64
+	prefillMeasured  bool
+	// partial is set while other daemons place calls on the same engines without this allocator.
 	partial bool
 	callers *callers
-	// keptShare is how many of the prompts that an engine had read were still kept when their callers came back.
-	keptShare    float64
-	keptJudgedAt time.Time
-	// pauses tell how streams bear a prompt that is read beside them.
-	pauses *twpauses.Pauses
-	// readersShort and answerersShort tell of calls that found no engine of the role in time.
-	readersShort, answerersShort shortage
-	// cost is what calls take of the engines.
+	// cacheHitShare is the moving average of how often an engine still had the cached prompt of a retry, 0 to 1.
+	cacheHitShare   float64
+	cacheHitShareAt time.Time
+	// interference estimates how often a prefill on a decode engine delays the engine's streams.
+	interference *twpauses.Pauses
+	// prefillShortage and decodeShortage record the calls that found no engine of the role in time.
+	prefillShortage, decodeShortage shortage
+	// cost is the mean engine time that a call takes.
 	cost *twcost.Cost
-	// ejections tell which engines failed their calls.
+	// ejections are the engines that get no calls because calls failed there.
 	ejections *twejection.Ejections
-	// invited are the times at which callers that were turned away may come back.
-	invited []time.Time
+	// retryTimes are the retry times given to refused callers that have not passed yet.
+	retryTimes []time.Time
 }
 
-type waiter struct {
-	ask   turmericwall.PlaceAsk
-	since time.Time
-	// returned tells that the caller was turned away before.
-	returned bool
-	// late tells that the first event can't be on time any more.
+// waitingCall is a call that has neither been placed nor refused.
+type waitingCall struct {
+	request    turmericwall.PlaceAsk
+	enqueuedAt time.Time
+	// isRetry is set when the caller was refused before.
+	isRetry bool
+	// late is set when the first event can't arrive by the target deadline any more.
 	late bool
-	// unread tells that the last decision found no engine that reads the prompt in time.
-	unread bool
+	// noPrefillInTime is set when the last decision found no prefill engine that finishes the prompt in time.
+	noPrefillInTime bool
 }
 
-// Verdict turns one call away.
-type Verdict struct {
+// Refusal refuses one call.
+type Refusal struct {
 	ID     string
 	Reason string
-	// RetryAt is when the books expect room.
+	// RetryAt is when the call is expected to find an engine.
 	RetryAt time.Time
-	// Never says that no engine could ever hold the call.
-	Never bool
+	// Permanent is set when the prompt exceeds the memory of every engine, so that a retry can't succeed.
+	Permanent bool
 }
 
-// Decisions are the outcome of one step.
+// Decisions are the results of one call of Decide.
 type Decisions struct {
 	Placed  []turmericwall.Placement
-	Refused []Verdict
-	// NextAt is when time alone may change a decision; zero when nothing waits.
+	Refused []Refusal
+	// NextAt is when the next decision may differ without any further input; zero when no call waits.
 	NextAt time.Time
 }
 
-// New returns empty books.
+// New returns an allocator without engines and calls.
 func New(tuning Tuning) *Books {
 	return &Books{
-		tuning: tuning, engines: make(map[string]*engine), places: make(map[string]string),
-		callers: newCallers(), pauses: twpauses.New(), keptShare: firstKept, cost: twcost.New(),
-		ejections: twejection.New(),
-		bestSpeed: firstReadPerMilli, answerSpeed: firstTokensPerMilli, readSpeed: firstReadPerMilli,
+		tuning: tuning, engines: make(map[string]*engine), engineByCall: make(map[string]string),
+		callers: newCallers(), interference: twpauses.New(), cacheHitShare: initialCacheHitShare, cost: twcost.New(),
+		ejections:        twejection.New(),
+		bestPrefillSpeed: initialPrefillSpeed, decodeSpeed: initialDecodeSpeed, prefillSpeed: initialPrefillSpeed,
 	}
 }
 
-// Plan takes what the operator declares of the engines.
-func (b *Books) Plan(plan turmericwall.EnginePlan) { b.plan = plan }
+// SetPlan sets the limits of one engine as the operator configured them.
+func (a *Books) SetPlan(plan turmericwall.EnginePlan) { a.plan = plan }
 
-// List takes the engines of the service; those that are gone lose their runs.
-func (b *Books) List(now time.Time, upstreams []turmericwall.Upstream) {
+// SetEngines replaces the list of engines. The calls on engines that are no longer listed, or that were restarted, are
+// released.
+func (a *Books) SetEngines(now time.Time, upstreams []turmericwall.Upstream) {
 	seen := make(map[string]bool, len(upstreams))
 	for _, u := range upstreams {
 		seen[u.ID] = true
-		e, ok := b.engines[u.ID]
+		e, ok := a.engines[u.ID]
 		if ok && e.upstream.Key() == u.Key() {
 			e.upstream = u
 			continue
 		}
-		b.drop(u.ID)
-		b.engines[u.ID] = &engine{upstream: u, runs: make(map[string]*run), backlogAt: now}
+		a.removeEngine(u.ID)
+		a.engines[u.ID] = &engine{upstream: u, runs: make(map[string]*run), prefillBacklogAt: now}
 	}
-	for id := range b.engines {
+	for id := range a.engines {
 		if !seen[id] {
-			b.drop(id)
+			a.removeEngine(id)
 		}
 	}
 }
 
-// Ask lets a call wait for its decision.
-func (b *Books) Ask(now time.Time, ask turmericwall.PlaceAsk) {
-	if ask.Moving {
-		b.waiting = append(b.waiting, &waiter{ask: ask, since: now})
+// Enqueue adds a call that waits for its placement. The target deadline of a retry is counted from the caller's first
+// attempt.
+func (a *Books) Enqueue(now time.Time, request turmericwall.PlaceAsk) {
+	if request.Moving {
+		a.waiting = append(a.waiting, &waitingCall{request: request, enqueuedAt: now})
 		return
 	}
-	target := ask.TargetDeadline.Sub(now)
-	first, returned := b.callers.first(now, ask)
-	ask.TargetDeadline = first.Add(target)
-	b.waiting = append(b.waiting, &waiter{ask: ask, since: now, returned: returned})
-	b.cost.Learn(twcost.Call{
-		PromptTokens: float64(ask.Work.PromptTokens), Length: meanLength(ask.Work.HintTokens, ask.Work.MaxTokens),
-		Slots: b.plan.Slots, MemoryTokens: b.plan.MemoryTokens,
+	target := request.TargetDeadline.Sub(now)
+	first, isRetry := a.callers.recordAttempt(now, request)
+	request.TargetDeadline = first.Add(target)
+	a.waiting = append(a.waiting, &waitingCall{request: request, enqueuedAt: now, isRetry: isRetry})
+	a.cost.Learn(twcost.Call{
+		PromptTokens: float64(request.Work.PromptTokens), Length: meanLength(request.Work.HintTokens, request.Work.MaxTokens),
+		Slots: a.plan.Slots, MemoryTokens: a.plan.MemoryTokens,
 	})
 }
 
-// Withdraw takes a call back that waits or was placed.
-func (b *Books) Withdraw(id string) {
-	for i, w := range b.waiting {
-		if w.ask.ID == id {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+// Withdraw removes a waiting call or releases a placed one.
+func (a *Books) Withdraw(id string) {
+	for i, w := range a.waiting {
+		if w.request.ID == id {
+			a.waiting = append(a.waiting[:i], a.waiting[i+1:]...)
 			break
 		}
 	}
-	b.free(id)
+	a.release(id)
 }
 
-// Forget takes back all that an owner placed or asked for, because it is gone.
-func (b *Books) Forget(owner string) {
-	kept := b.waiting[:0]
-	for _, w := range b.waiting {
-		if w.ask.Owner != owner {
+// ReleaseOwner removes the waiting and the placed calls of a daemon that has terminated.
+func (a *Books) ReleaseOwner(owner string) {
+	kept := a.waiting[:0]
+	for _, w := range a.waiting {
+		if w.request.Owner != owner {
 			kept = append(kept, w)
 		}
 	}
-	b.waiting = kept
-	for id, at := range b.places {
-		if r := b.engines[at].runs[id]; r.owner == owner {
-			b.free(id)
+	a.waiting = kept
+	for id, at := range a.engineByCall {
+		if r := a.engines[at].runs[id]; r.owner == owner {
+			a.release(id)
 		}
 	}
 }
 
-// ForgetOthers takes back all that other owners than this one placed.
-func (b *Books) ForgetOthers(owner string) {
-	for id, at := range b.places {
-		if r := b.engines[at].runs[id]; r.owner != owner {
-			b.free(id)
+// ReleaseOtherOwners releases the placed calls of all daemons but this one.
+func (a *Books) ReleaseOtherOwners(owner string) {
+	for id, at := range a.engineByCall {
+		if r := a.engines[at].runs[id]; r.owner != owner {
+			a.release(id)
 		}
 	}
 }
 
-// Adopt takes a call that another placed, on an engine that the books know.
-func (b *Books) Adopt(now time.Time, placed turmericwall.PlacedRun) {
-	e, ok := b.engines[placed.Engine]
-	if !ok || b.places[placed.Ask.ID] != "" {
+// Adopt adds a call that was placed by another daemon. Calls on unknown engines are ignored.
+func (a *Books) Adopt(now time.Time, placed turmericwall.PlacedRun) {
+	e, ok := a.engines[placed.Engine]
+	if !ok || a.engineByCall[placed.Ask.ID] != "" {
 		return
 	}
 	e.runs[placed.Ask.ID] = &run{
-		owner: placed.Ask.Owner, work: placed.Ask.Work, reading: placed.AgeMillis < 0,
-		firstAt: now.Add(-time.Duration(placed.AgeMillis) * time.Millisecond),
+		owner: placed.Ask.Owner, work: placed.Ask.Work, prefilling: placed.AgeMillis < 0,
+		firstTokenAt: now.Add(-time.Duration(placed.AgeMillis) * time.Millisecond),
 	}
-	b.places[placed.Ask.ID] = placed.Engine
-	e.projected = nil
-	b.callers.first(now, placed.Ask)
+	a.engineByCall[placed.Ask.ID] = placed.Engine
+	e.memoryProjection = nil
+	a.callers.recordAttempt(now, placed.Ask)
 	if placed.AgeMillis >= 0 {
-		b.callers.answered(now, placed.Ask.Work, e)
+		a.callers.recordEngine(now, placed.Ask.Work, e)
 	}
 }
 
-// Sweep frees the calls whose longest answer must have ended long ago: the daemon that served them did not say so.
-func (b *Books) Sweep(now time.Time) {
-	for id, at := range b.places {
-		r := b.engines[at].runs[id]
-		longest := float64(max(r.work.MaxTokens, r.work.HintTokens)) / b.answerSpeed
-		if now.After(r.firstAt.Add(millis(overdueFactor*longest + overdueMillis))) {
-			b.free(id)
+// Sweep releases the calls whose longest answer must have ended, because the daemon that served them did not report
+// their end.
+func (a *Books) Sweep(now time.Time) {
+	for id, at := range a.engineByCall {
+		r := a.engines[at].runs[id]
+		longest := float64(max(r.work.MaxTokens, r.work.HintTokens)) / a.decodeSpeed
+		if now.After(r.firstTokenAt.Add(millis(overdueFactor*longest + overdueMillis))) {
+			a.release(id)
 		}
 	}
 }
 
-// News takes what happened to a placed call.
-func (b *Books) News(now time.Time, end turmericwall.PlacementEnd) {
-	if e, ok := b.engines[end.Full]; ok {
-		e.refusals = min(e.refusals+1, 4)
-		e.closedUntil = now.Add(millis(b.tuning.ClosedMillis * float64(e.refusals)))
+// ApplyUpdate applies a report on a placed call: a failed or full engine, the end of its prefill, a pause of its stream
+// or its end.
+func (a *Books) ApplyUpdate(now time.Time, end turmericwall.PlacementEnd) {
+	if e, ok := a.engines[end.Full]; ok {
+		e.fullRefusals = min(e.fullRefusals+1, 4)
+		e.backoffUntil = now.Add(millis(a.tuning.FullBackoffMillis * float64(e.fullRefusals)))
 	}
-	if e, ok := b.engines[end.Doubted]; ok {
-		e.closedUntil = now.Add(millis(b.tuning.DoubtedMillis))
+	if e, ok := a.engines[end.Doubted]; ok {
+		e.backoffUntil = now.Add(millis(a.tuning.SuspectBackoffMillis))
 	}
-	if _, ok := b.engines[end.Failed]; ok {
-		b.ejections.Failed(now, end.Failed)
+	if _, ok := a.engines[end.Failed]; ok {
+		a.ejections.Failed(now, end.Failed)
 	}
-	if at, ok := b.places[end.ID]; ok && end.AnswerTokens > 0 && end.Failed == "" {
-		b.ejections.Succeeded(now, at)
+	if at, ok := a.engineByCall[end.ID]; ok && end.AnswerTokens > 0 && end.Failed == "" {
+		a.ejections.Succeeded(now, at)
 	}
 	if end.AnswerMillis > minMeasuredMillis && end.AnswerTokens > 0 {
-		b.answered(end)
+		a.recordAnswer(end)
 	}
 	if end.PromptRead {
-		b.promptRead(now, end)
+		a.recordPrefill(now, end)
 	}
 	if end.Paused {
-		b.pauses.Paused(end.ID)
+		a.interference.Paused(end.ID)
 	}
 	if !end.Running {
-		b.free(end.ID)
+		a.release(end.ID)
 	}
 }
 
-// Partial tells that other daemons place calls on the same engines without these books. Speeds are not learned then,
-// because the others' prompts make each one look slow.
-func (b *Books) Partial(partial bool) { b.partial = partial }
+// SetPartial sets whether other daemons place calls on the same engines without this allocator. Prefill speeds are not
+// measured then, because the other daemons' prompts delay the measured ones.
+func (a *Books) SetPartial(partial bool) { a.partial = partial }
 
-// Waiting is how many calls wait.
-func (b *Books) Waiting() int { return len(b.waiting) }
+// Waiting returns the number of waiting calls.
+func (a *Books) Waiting() int { return len(a.waiting) }
 
-// Busy tells that calls are placed or wait.
-func (b *Books) Busy() bool { return len(b.places)+len(b.waiting) > 0 }
+// Busy reports whether calls are placed or waiting.
+func (a *Books) Busy() bool { return len(a.engineByCall)+len(a.waiting) > 0 }
 
-func (b *Books) free(id string) {
-	at, ok := b.places[id]
+func (a *Books) release(id string) {
+	at, ok := a.engineByCall[id]
 	if !ok {
 		return
 	}
-	b.pauses.Ended(id)
-	delete(b.engines[at].runs, id)
-	b.engines[at].projected = nil
-	delete(b.places, id)
+	a.interference.Ended(id)
+	delete(a.engines[at].runs, id)
+	a.engines[at].memoryProjection = nil
+	delete(a.engineByCall, id)
 }
 
-func (b *Books) drop(id string) {
-	e, ok := b.engines[id]
+func (a *Books) removeEngine(id string) {
+	e, ok := a.engines[id]
 	if !ok {
 		return
 	}
-	for run := range e.runs {
-		delete(b.places, run)
+	for callID := range e.runs {
+		delete(a.engineByCall, callID)
 	}
-	b.ejections.Forget(id)
-	delete(b.engines, id)
+	a.ejections.Forget(id)
+	delete(a.engines, id)
 }
 
 func millis(n float64) time.Duration {
--- a/internal/placement/twbooks/callers.go
+++ b/internal/placement/twbooks/callers.go
@@ -7,82 +7,93 @@
 )
 
 const (
-	// sameDeadline is how far apart the deadlines of two attempts of one caller may seem, by travel and rounding.
-	sameDeadline = 150 * time.Millisecond
-	// keptSpan is how long what an engine said of its memory counts: until then the callers of before have come back.
-	keptSpan = 15 * time.Second
-	// forgetEvery is the pause between two looks for callers that have left.
-	forgetEvery = 5 * time.Second
+	// deadlineTolerance is the largest difference between the deadlines of two attempts of one caller, caused by
+	// network delay and rounding.
+	deadlineTolerance = 150 * time.Millisecond
+	// cachedPromptValidity is how long a cached prompt that an engine reported counts for a caller that is not known
+	// yet; earlier callers have retried by then.
+	cachedPromptValidity = 15 * time.Second
+	// expiryInterval is the time between two removals of callers whose deadline has passed.
+	expiryInterval = 5 * time.Second
 )
 
-// callers remembers when each caller that still waits made its first attempt.
+// callers remembers when each caller made its first attempt, until the caller's deadline.
 //
-// A caller that was turned away comes back with a new id, and its answer is on time only if counted from its first
-// attempt. Taken for a fresh call it would displace one that can still be on time.
+// A refused caller retries with a new id, and its answer is on time only if counted from its first attempt. If its
+// retry counted as a new call, it would displace a call that can still be on time.
 type callers struct {
-	known    map[string]caller
-	forgetAt time.Time
+	bySubject    map[string]caller
+	nextExpiryAt time.Time
 }
 
+// caller is what is known of one caller, identified by the subject of its prompt.
 type caller struct {
-	first    time.Time
-	deadline time.Time
-	// engine is the one that answered last; it may still keep so many tokens of the prompt.
-	engine turmericwall.UpstreamKey
-	tokens int
-	// usedAt is when the engine last used the prompt, and taken what its runs had needed by then.
-	usedAt time.Time
-	taken  float64
+	firstAttemptAt time.Time
+	deadline       time.Time
+	// engine is the decode engine that answered last and may still have cachedTokens of the prompt in its cache.
+	engine       turmericwall.UpstreamKey
+	cachedTokens int
+	// lastUsedAt is when the engine last used the prompt, allocatedAtUse the engine's allocatedTokens at that time.
+	lastUsedAt     time.Time
+	allocatedAtUse float64
 }
 
-func newCallers() *callers { return &callers{known: make(map[string]caller)} }
+func newCallers() *callers { return &callers{bySubject: make(map[string]caller)} }
 
-// first returns when the caller made its first attempt, and whether that was before this one.
-func (c *callers) first(now time.Time, ask turmericwall.PlaceAsk) (time.Time, bool) {
-	c.forget(now)
-	if ask.Work.Subject == "" {
+// recordAttempt returns when the caller made its first attempt, and whether that was before this one. Attempts belong
+// to one caller when the subject of the prompt and the caller's deadline are the same.
+func (c *callers) recordAttempt(now time.Time, request turmericwall.PlaceAsk) (time.Time, bool) {
+	c.expire(now)
+	if request.Work.Subject == "" {
 		return now, false
 	}
-	known, ok := c.known[ask.Work.Subject]
-	if ok && !known.first.IsZero() && known.deadline.Sub(ask.CallerDeadline).Abs() < sameDeadline {
-		return known.first, true
+	known, ok := c.bySubject[request.Work.Subject]
+	if ok && !known.firstAttemptAt.IsZero() && known.deadline.Sub(request.CallerDeadline).Abs() < deadlineTolerance {
+		return known.firstAttemptAt, true
 	}
-	known.first, known.deadline = now, ask.CallerDeadline
-	c.known[ask.Work.Subject] = known
+	known.firstAttemptAt, known.deadline = now, request.CallerDeadline
+	c.bySubject[request.Work.Subject] = known
 	return now, false
 }
 
-// answered notes the engine that has the caller's prompt and answers.
-func (c *callers) answered(now time.Time, work turmericwall.ModelWork, e *engine) {
-	known, ok := c.known[work.Subject]
+// recordEngine records the decode engine that has the caller's prompt and answers it.
+func (c *callers) recordEngine(now time.Time, work turmericwall.ModelWork, e *engine) {
+	known, ok := c.bySubject[work.Subject]
 	if !ok {
 		return
 	}
-	known.engine, known.tokens, known.usedAt, known.taken = e.upstream.Key(), work.PromptTokens, now, e.taken
-	c.known[work.Subject] = known
+	known.engine, known.cachedTokens, known.lastUsedAt, known.allocatedAtUse =
+		e.upstream.Key(), work.PromptTokens, now, e.allocatedTokens
+	c.bySubject[work.Subject] = known
 }
 
-// keeps takes what an engine says that it keeps.
-func (c *callers) keeps(now time.Time, e *engine, prompts []turmericwall.KeptPrompt) {
+// recordCachedPrompts records the cached prompts that an engine reports. Callers that are known already are left
+// unchanged.
+func (c *callers) recordCachedPrompts(now time.Time, e *engine, prompts []turmericwall.KeptPrompt) {
 	for _, p := range prompts {
-		if _, ok := c.known[p.Subject]; ok {
+		if _, ok := c.bySubject[p.Subject]; ok {
 			continue
 		}
-		c.known[p.Subject] = caller{deadline: now.Add(keptSpan), engine: e.upstream.Key(), tokens: p.Tokens, usedAt: now, taken: e.taken}
+		c.bySubject[p.Subject] = caller{
+			deadline: now.Add(cachedPromptValidity), engine: e.upstream.Key(), cachedTokens: p.Tokens,
+			lastUsedAt: now, allocatedAtUse: e.allocatedTokens,
+		}
 	}
 }
 
-// kept is what is known of the engine that may still keep the call's prompt.
-func (c *callers) kept(ask turmericwall.PlaceAsk) caller { return c.known[ask.Work.Subject] }
+// cachedPrompt returns what is known of the engine that may still have the call's prompt in its cache.
+func (c *callers) cachedPrompt(request turmericwall.PlaceAsk) caller {
+	return c.bySubject[request.Work.Subject]
+}
 
-func (c *callers) forget(now time.Time) {
-	if now.Before(c.forgetAt) {
+func (c *callers) expire(now time.Time) {
+	if now.Before(c.nextExpiryAt) {
 		return
 	}
-	c.forgetAt = now.Add(forgetEvery)
-	for subject, known := range c.known {
+	c.nextExpiryAt = now.Add(expiryInterval)
+	for subject, known := range c.bySubject {
 		if now.After(known.deadline) {
-			delete(c.known, subject)
+			delete(c.bySubject, subject)
 		}
 	}
 }
--- a/internal/placement/twbooks/choose.go
+++ b/internal/placement/twbooks/choose.go
@@ -7,54 +7,56 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// reader returns the prefill engine that would have read the prompt first, and how long that takes.
-func (b *Books) reader(st *step, ask turmericwall.PlaceAsk) (*engine, float64) {
+// fastestPrefill returns the prefill engine that would finish the prompt first, and how many milliseconds that takes.
+func (a *Books) fastestPrefill(st *decisionState, request turmericwall.PlaceAsk) (*engine, float64) {
 	var best *engine
 	bestMillis := math.Inf(1)
 	for _, e := range st.prefills {
-		if !b.open(st.now, e, ask) {
+		if !a.acceptsCall(st.now, e, request) {
 			continue
 		}
-		need := b.readMillis(st.now, e, ask)
-		if e.upstream.Zone != ask.Zone {
-			need += travelMillis
+		readyMillis := a.prefillMillis(st.now, e, request)
+		if e.upstream.Zone != request.Zone {
+			readyMillis += prefillOverheadMillis
 		}
-		if need < bestMillis {
-			best, bestMillis = e, need
+		if readyMillis < bestMillis {
+			best, bestMillis = e, readyMillis
 		}
 	}
 	return best, bestMillis
 }
 
-// decoder returns the decode engine whose memory is least filled by the call. start tells when the answer would begin
-// on an engine, in milliseconds from now, and whether the engine can be used at all. reader reads the prompt; nil when the
-// decode engine does so itself.
-func (b *Books) decoder(st *step, ask turmericwall.PlaceAsk, reader *engine, start func(*engine) (float64, bool)) *engine {
-	need := b.forecast(ask)
-	if st.hopeless(need) {
+// leastFilledDecode returns the decode engine whose projected peak of memory is lowest with the call; nil when the call
+// fits on none. startOn returns in how many milliseconds the answer would begin on an engine, and whether the engine
+// can be used at all. prefillEngine is nil when the decode engine does the prefill itself.
+func (a *Books) leastFilledDecode(
+	st *decisionState, request turmericwall.PlaceAsk, prefillEngine *engine, startOn func(*engine) (float64, bool),
+) *engine {
+	demand := a.forecast(request)
+	if st.cannotFit(demand) {
 		return nil
 	}
-	most := b.tuning.MemoryShare * float64(b.plan.MemoryTokens)
+	limitTokens := a.tuning.MemoryShare * float64(a.plan.MemoryTokens)
 	var best *engine
 	bestPeak := math.Inf(1)
 	for _, e := range st.decodes {
-		if !b.open(st.now, e, ask) || len(e.runs) >= b.slots(e) {
+		if !a.acceptsCall(st.now, e, request) || len(e.runs) >= a.slotLimit(e) {
 			continue
 		}
-		first, ok := start(e)
+		startMillis, ok := startOn(e)
 		if !ok {
 			continue
 		}
-		added := need.span(first, e.projected.speed).later(e.projected.passed(st.now))
-		needed := e.projected.peak(added, b.tuning.Deviations)
-		if needed > most {
+		added := demand.profile(startMillis, e.memoryProjection.speed).shifted(e.memoryProjection.elapsedMillis(st.now))
+		needed := e.memoryProjection.peak(added, a.tuning.Deviations)
+		if needed > limitTokens {
 			continue
 		}
-		if e.upstream.Zone != ask.Zone {
-			needed += otherZoneShare * most
+		if e.upstream.Zone != request.Zone {
+			needed += crossZonePenalty * limitTokens
 		}
-		if reader != nil && e.upstream.Zone != reader.upstream.Zone {
-			needed += readerZoneShare * most
+		if prefillEngine != nil && e.upstream.Zone != prefillEngine.upstream.Zone {
+			needed += crossZoneTransferPenalty * limitTokens
 		}
 		if needed < bestPeak {
 			best, bestPeak = e, needed
@@ -63,40 +65,45 @@
 	return best
 }
 
-// anyDecoder is the decode engine for a prompt that is read elsewhere within first milliseconds.
-func (b *Books) anyDecoder(st *step, ask turmericwall.PlaceAsk, reader *engine, first float64) *engine {
-	best := b.decoder(st, ask, reader, func(*engine) (float64, bool) { return first, true })
-	if best == nil && len(ask.Avoid) == 0 {
-		st.failed = append(st.failed, b.forecast(ask))
+// decodeAfterPrefill returns the decode engine for a prompt whose prefill on another engine ends in startMillis; nil
+// when the call fits on none.
+func (a *Books) decodeAfterPrefill(
+	st *decisionState, request turmericwall.PlaceAsk, prefillEngine *engine, startMillis float64,
+) *engine {
+	best := a.leastFilledDecode(st, request, prefillEngine, func(*engine) (float64, bool) { return startMillis, true })
+	if best == nil && len(request.Avoid) == 0 {
+		st.unplaced = append(st.unplaced, a.forecast(request))
 	}
 	return best
 }
 
-// hopeless tells that a call that needs no more memory for no longer found no place in this step. Places only fill up
-// within a step, and at the peak most waiting calls are told apart by this alone.
-func (s *step) hopeless(need forecast) bool {
-	for _, f := range s.failed {
-		if need.held >= f.held && need.growth >= f.growth {
+// cannotFit reports whether a call that needs no more memory than this one was not placed in this decision. Memory only
+// fills up during a decision, so this one needn't be tried; under high load this spares most of the work.
+func (s *decisionState) cannotFit(demand forecast) bool {
+	for _, f := range s.unplaced {
+		if demand.heldTokens >= f.heldTokens && demand.growth >= f.growth {
 			return true
 		}
 	}
 	return false
 }
 
-// otherZoneShare is how much more free memory makes an engine in another zone as good as one in the same: the events of
-// an answer cross zones at a price of about one in four hundred of its worth.
-const otherZoneShare = 0.02
+// crossZonePenalty is how much more free memory, as a share of the limit, makes an engine in another zone as good as
+// one in the call's zone. The events of an answer that cross zones cost about 1/400 of the answer's worth.
+const crossZonePenalty = 0.02
 
-// readerZoneShare is the same for an engine in another zone than the one that reads the prompt. A prompt's memory that
-// crosses zones takes twice as long and costs about one in a hundred of the answer's worth. With 0.1, a fifth less is
-// paid for moved memory and no more runs are thrown out; at 0.2 a fourth less, and engines fill less evenly.
-const readerZoneShare = 0.1
+// crossZoneTransferPenalty is the same for an engine in another zone than the prefill engine. A KV cache that crosses
+// zones takes twice as long to transfer and costs about 1/100 of the answer's worth. With 0.1 the cost of transfers
+// between zones is a fifth lower without more evicted runs; with 0.2 it is a fourth lower, but engines fill unevenly.
+const crossZoneTransferPenalty = 0.1
 
-func (b *Books) open(now time.Time, e *engine, ask turmericwall.PlaceAsk) bool {
-	if e.upstream.Leaving || e.ejected || now.Before(e.closedUntil) {
+// acceptsCall reports whether the engine may get the call: it is not leaving, ejected or in back-off, and has not
+// failed the call before.
+func (a *Books) acceptsCall(now time.Time, e *engine, request turmericwall.PlaceAsk) bool {
+	if e.upstream.Leaving || e.ejected || now.Before(e.backoffUntil) {
 		return false
 	}
-	for _, id := range ask.Avoid {
+	for _, id := range request.Avoid {
 		if id == e.upstream.ID {
 			return false
 		}
@@ -104,9 +111,10 @@
 	return true
 }
 
-func (b *Books) slots(e *engine) int {
+// slotLimit returns how many calls the engine runs at once: its own statement, or else the operator's plan.
+func (a *Books) slotLimit(e *engine) int {
 	if e.upstream.Slots > 0 {
 		return e.upstream.Slots
 	}
-	return max(b.plan.Slots, 1)
+	return max(a.plan.Slots, 1)
 }
--- a/internal/placement/twbooks/decide.go
+++ b/internal/placement/twbooks/decide.go
@@ -8,58 +8,60 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// tickMillis is the pause until waiting calls are looked at again, in milliseconds: a fiftieth of a target of one second.
-const tickMillis = 20
+// decisionIntervalMillis is the time until waiting calls are tried again, 1/50 of a target of one second.
+const decisionIntervalMillis = 20
 
-// step is what one decision is computed from once, for all calls that wait.
-type step struct {
+// decisionState is what one decision computes once for all waiting calls.
+type decisionState struct {
 	now      time.Time
 	prefills []*engine
 	decodes  []*engine
-	// ends are when the runs end, in milliseconds from now; sorted tells that the soonest is first.
-	ends   []float64
-	sorted bool
-	// failed are calls that found no place in this step.
-	failed []forecast
-	// used and all are the memory that the runs will need and that there is.
-	used, all float64
+	// runEnds are the expected ends of the runs in milliseconds from now; runEndsSorted is set when they are in
+	// ascending order.
+	runEnds       []float64
+	runEndsSorted bool
+	// unplaced are the calls that found no decode engine in this decision.
+	unplaced []forecast
+	// usedTokens is the memory that the runs will need, totalTokens that of all decode engines.
+	usedTokens, totalTokens float64
 }
 
-// Decide places what fits, turns away what can't be on time, and lets the rest wait.
-func (b *Books) Decide(now time.Time) Decisions {
+// Decide places the waiting calls that fit, refuses those that can't be on time, and keeps the others waiting.
+func (a *Books) Decide(now time.Time) Decisions {
 	var d Decisions
-	if len(b.waiting) == 0 {
+	if len(a.waiting) == 0 {
 		return d
 	}
-	st := b.begin(now)
-	b.order(now)
-	kept := b.waiting[:0]
-	for n, w := range b.waiting {
-		if placement, ok := b.place(st, w); ok {
+	st := a.newDecisionState(now)
+	a.sortWaiting(now)
+	kept := a.waiting[:0]
+	for n, w := range a.waiting {
+		if placement, ok := a.place(st, w); ok {
 			d.Placed = append(d.Placed, placement)
 			continue
 		}
-		if verdict, ok := b.refuse(st, w, n-len(d.Placed)-len(d.Refused)); ok {
-			d.Refused = append(d.Refused, verdict)
+		if refusal, ok := a.refuse(st, w, n-len(d.Placed)-len(d.Refused)); ok {
+			d.Refused = append(d.Refused, refusal)
 			continue
 		}
 		kept = append(kept, w)
 	}
-	clear(b.waiting[len(kept):])
-	b.waiting = kept
+	clear(a.waiting[len(kept):])
+	a.waiting = kept
 	if len(kept) > 0 {
-		d.NextAt = now.Add(tickMillis * time.Millisecond)
+		d.NextAt = now.Add(decisionIntervalMillis * time.Millisecond)
 	}
 	return d
 }
 
-// begin computes what all waiting calls are weighed against.
+// newDecisionState computes the state that all waiting calls are compared with.
 //
-// Projected anew for each call, sixty waiting calls and fifteen full engines took 5.2 ms a decision, and a leader at the
-// peak had no processor left for its beats. Projections are kept while their engine's runs stay the same.
-func (b *Books) begin(now time.Time) *step {
-	st := &step{now: now}
-	for _, e := range b.engines {
+// Projecting every engine for each call took 5.2 ms per decision with 60 waiting calls and 15 full engines, which left
+// a leader no processor time for its heartbeats. Projections are therefore reused while their engine's runs stay the
+// same.
+func (a *Books) newDecisionState(now time.Time) *decisionState {
+	st := &decisionState{now: now}
+	for _, e := range a.engines {
 		switch e.upstream.Role {
 		case turmericwall.RolePrefill:
 			st.prefills = append(st.prefills, e)
@@ -69,174 +71,179 @@
 	}
 	sortByID(st.prefills)
 	sortByID(st.decodes)
-	b.eject(now, st.prefills)
-	b.eject(now, st.decodes)
+	a.markEjected(now, st.prefills)
+	a.markEjected(now, st.decodes)
 	for _, e := range st.decodes {
-		if e.projected == nil || now.Sub(e.projected.origin) > projectionSpan {
-			e.projected = e.project(now, b.answerSpeedOf(e), b.tuning.LengthQuantile)
+		if e.memoryProjection == nil || now.Sub(e.memoryProjection.origin) > projectionValidity {
+			e.memoryProjection = e.project(now, a.decodeSpeedOf(e), a.tuning.LengthQuantile)
 		}
 		if e.upstream.Leaving {
 			continue
 		}
-		st.all += float64(b.plan.MemoryTokens)
-		passed := e.projected.passed(now)
-		for _, s := range e.projected.spans {
-			st.used += s.at(s.end, e.projected.speed)
-			st.ends = append(st.ends, math.Max(s.end-passed, 0))
+		st.totalTokens += float64(a.plan.MemoryTokens)
+		elapsedMillis := e.memoryProjection.elapsedMillis(now)
+		for _, s := range e.memoryProjection.profiles {
+			st.usedTokens += s.tokensAt(s.endMillis, e.memoryProjection.speed)
+			st.runEnds = append(st.runEnds, math.Max(s.endMillis-elapsedMillis, 0))
 		}
 	}
 	return st
 }
 
-// maxEjectedShare is the part of the engines of one role that may be ejected: when more fail, it is not the engines that are
-// at fault, and the others could not carry the load.
+// maxEjectedShare is the share of the engines of one role that may be ejected. When more fail, the cause is not the
+// engines, and the others could not carry the load.
 const maxEjectedShare = 0.4
 
-// eject marks the engines that get no call because calls failed there.
-func (b *Books) eject(now time.Time, engines []*engine) {
+// markEjected marks the engines that get no calls because calls failed there.
+func (a *Books) markEjected(now time.Time, engines []*engine) {
 	left := int(maxEjectedShare * float64(len(engines)))
 	for _, e := range engines {
-		e.ejected = left > 0 && b.ejections.Out(now, e.upstream.ID)
+		e.ejected = left > 0 && a.ejections.Out(now, e.upstream.ID)
 		if e.ejected {
 			left--
 		}
 	}
 }
 
-// tried notes that calls are placed on the engines: an ejected one gets one at a time.
-func (b *Books) tried(now time.Time, engines ...*engine) {
+// recordPlacement records that a call was placed on the engines: an ejected engine gets one trial call at a time.
+func (a *Books) recordPlacement(now time.Time, engines ...*engine) {
 	for _, e := range engines {
-		b.ejections.Tried(now, e.upstream.ID)
-		e.ejected = e.ejected || b.ejections.Out(now, e.upstream.ID)
+		a.ejections.Tried(now, e.upstream.ID)
+		e.ejected = e.ejected || a.ejections.Out(now, e.upstream.ID)
 	}
 }
 
-// passed is how many milliseconds lie between the projection's origin and now.
-func (p *projection) passed(now time.Time) float64 { return float64(now.Sub(p.origin).Milliseconds()) }
+// elapsedMillis returns the time since the projection's origin in milliseconds.
+func (p *projection) elapsedMillis(now time.Time) float64 {
+	return float64(now.Sub(p.origin).Milliseconds())
+}
 
-// fill is the part of the decode engines' memory that is taken.
-func (s *step) fill() float64 {
-	if s.all == 0 {
+// memoryFill returns the share of the decode engines' memory that the runs will need; 1 when there is no memory.
+func (s *decisionState) memoryFill() float64 {
+	if s.totalTokens == 0 {
 		return 1
 	}
-	return s.used / s.all
+	return s.usedTokens / s.totalTokens
 }
 
-// order puts calls that can be on time first, of these the more urgent ones, and of equal ones those that are due first.
-func (b *Books) order(now time.Time) {
-	for _, w := range b.waiting {
-		fastest := float64(w.ask.Work.PromptTokens)/b.poolSpeed(now) + b.tuning.StartMarginMillis
-		w.late = now.Add(millis(fastest)).After(w.ask.TargetDeadline)
+// sortWaiting sorts the waiting calls: those that can be on time first, then by priority, then by target deadline.
+func (a *Books) sortWaiting(now time.Time) {
+	for _, w := range a.waiting {
+		fastest := float64(w.request.Work.PromptTokens)/a.poolPrefillSpeed(now) + a.tuning.FirstEventMarginMillis
+		w.late = now.Add(millis(fastest)).After(w.request.TargetDeadline)
 	}
-	sort.SliceStable(b.waiting, func(i, j int) bool {
-		x, y := b.waiting[i], b.waiting[j]
+	sort.SliceStable(a.waiting, func(i, j int) bool {
+		x, y := a.waiting[i], a.waiting[j]
 		if x.late != y.late {
 			return y.late
 		}
-		if x.ask.Priority != y.ask.Priority {
-			return x.ask.Priority < y.ask.Priority
+		if x.request.Priority != y.request.Priority {
+			return x.request.Priority < y.request.Priority
 		}
-		return x.ask.TargetDeadline.Before(y.ask.TargetDeadline)
+		return x.request.TargetDeadline.Before(y.request.TargetDeadline)
 	})
 }
 
-// place finds the engines for one call and takes their memory. A call is placed only where its first event can
-// still be on time, if it can be at all: a late answer takes the memory that would have let the next one be on time.
-func (b *Books) place(st *step, w *waiter) (turmericwall.Placement, bool) {
-	if w.ask.Moving {
-		return b.move(st, w)
+// place chooses the engines for one call and reserves their memory. A call is placed only where its first event can be
+// on time, unless it is late already: a late answer would take memory that another call needs to be on time.
+func (a *Books) place(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
+	if w.request.Moving {
+		return a.placeMovingRun(st, w)
 	}
-	if w.late && st.fill() > b.tuning.LateShare {
+	if w.late && st.memoryFill() > a.tuning.LateMemoryShare {
 		return turmericwall.Placement{}, false
 	}
-	if placement, ok := b.placeWhereKept(st, w); ok {
+	if placement, ok := a.placeOnCachedPrompt(st, w); ok {
 		return placement, true
 	}
-	reader, toRead := b.reader(st, w.ask)
-	w.unread = reader == nil || !b.onTime(st.now, w, toRead)
-	if !w.unread {
-		if decode := b.anyDecoder(st, w.ask, reader, toRead); decode != nil {
-			return b.take(st, w, decode, reader, toRead), true
+	prefillEngine, prefillMillis := a.fastestPrefill(st, w.request)
+	w.noPrefillInTime = prefillEngine == nil || !a.meetsTarget(st.now, w, prefillMillis)
+	if !w.noPrefillInTime {
+		if decode := a.decodeAfterPrefill(st, w.request, prefillEngine, prefillMillis); decode != nil {
+			return a.reserve(st, w, decode, prefillEngine, prefillMillis), true
 		}
 		if !w.late {
-			b.answerersShort.seen(st.now)
+			a.decodeShortage.record(st.now)
 		}
 		return turmericwall.Placement{}, false
 	}
 	if !w.late {
-		b.readersShort.seen(st.now)
+		a.prefillShortage.record(st.now)
 	}
-	decode, ownMillis := b.ownReader(st, w)
+	decode, localMillis := a.localPrefillEngine(st, w)
 	if decode == nil {
 		return turmericwall.Placement{}, false
 	}
-	b.disturb(st.now, decode, w.ask, ownMillis)
-	return b.take(st, w, decode, decode, ownMillis), true
+	a.watchStreams(st.now, decode, w.request, localMillis)
+	return a.reserve(st, w, decode, decode, localMillis), true
 }
 
-// move finds a decode engine for a run whose engine is leaving. Its prompt is read already.
-func (b *Books) move(st *step, w *waiter) (turmericwall.Placement, bool) {
-	decode := b.anyDecoder(st, w.ask, nil, 0)
+// placeMovingRun chooses a decode engine for a run whose engine is leaving. The run's prompt has been prefilled.
+func (a *Books) placeMovingRun(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
+	decode := a.decodeAfterPrefill(st, w.request, nil, 0)
 	if decode == nil {
 		return turmericwall.Placement{}, false
 	}
-	placement := b.take(st, w, decode, decode, 0)
-	decode.backlog = math.Max(0, decode.backlog-float64(w.ask.Work.PromptTokens))
-	r := decode.runs[w.ask.ID]
-	r.reading = false
-	r.firstAt = st.now
-	decode.projected = decode.project(st.now, b.answerSpeedOf(decode), b.tuning.LengthQuantile)
+	placement := a.reserve(st, w, decode, decode, 0)
+	decode.prefillBacklog = math.Max(0, decode.prefillBacklog-float64(w.request.Work.PromptTokens))
+	r := decode.runs[w.request.ID]
+	r.prefilling = false
+	r.firstTokenAt = st.now
+	decode.memoryProjection = decode.project(st.now, a.decodeSpeedOf(decode), a.tuning.LengthQuantile)
 	return placement, true
 }
 
-// onTime tells that the first event can be on time when the prompt is read after so many milliseconds. A late call
-// uses the engines that read prompts only while others hardly wait for them.
-func (b *Books) onTime(now time.Time, w *waiter, readMillis float64) bool {
+// meetsTarget reports whether the first event can be on time when the prefill ends in prefillMillis. A late call may
+// use a prefill engine only if it hardly delays other calls there.
+func (a *Books) meetsTarget(now time.Time, w *waitingCall, prefillMillis float64) bool {
 	if w.late {
-		return readMillis-float64(w.ask.Work.PromptTokens)/b.poolSpeed(now) < b.tuning.LateReadWaitMillis
+		return prefillMillis-float64(w.request.Work.PromptTokens)/a.poolPrefillSpeed(now) < a.tuning.LatePrefillWaitMillis
 	}
-	return now.Add(millis(readMillis + b.tuning.StartMarginMillis)).Before(w.ask.TargetDeadline)
+	return now.Add(millis(prefillMillis + a.tuning.FirstEventMarginMillis)).Before(w.request.TargetDeadline)
 }
 
-// readMillis is how long the engine takes until it has read the prompt, in milliseconds.
-func (b *Books) readMillis(now time.Time, e *engine, ask turmericwall.PlaceAsk) float64 {
-	speed := b.speed(now, e)
-	return (e.waitingRead(now, speed)+float64(ask.Work.PromptTokens))/speed + travelMillis
+// prefillMillis returns in how many milliseconds the engine would finish the call's prompt, its backlog included.
+func (a *Books) prefillMillis(now time.Time, e *engine, request turmericwall.PlaceAsk) float64 {
+	speed := a.prefillSpeedOf(now, e)
+	return (e.pendingPrefillTokens(now, speed)+float64(request.Work.PromptTokens))/speed + prefillOverheadMillis
 }
 
-// take enters one placed call.
-func (b *Books) take(st *step, w *waiter, decode, reader *engine, readMillis float64) turmericwall.Placement {
-	ask := w.ask
-	readAt := st.now.Add(millis(readMillis))
-	reader.backlog = reader.waitingRead(st.now, b.speed(st.now, reader)) + float64(ask.Work.PromptTokens)
-	reader.backlogAt = st.now
-	decode.runs[ask.ID] = &run{
-		owner: ask.Owner, work: ask.Work, firstAt: readAt.Add(millis(b.tuning.StartMarginMillis)),
-		readBy: reader.upstream.ID, reading: true, placedAt: st.now,
-	}
-	added := b.forecast(ask).span(readMillis, decode.projected.speed)
-	decode.projected.add(added.later(decode.projected.passed(st.now)))
-	st.used += added.at(added.end, decode.projected.speed)
-	decode.taken += added.at(added.end, decode.projected.speed)
-	b.places[ask.ID] = decode.upstream.ID
-	b.tried(st.now, decode, reader)
-	length := expectedLength(ask.Work.HintTokens, ask.Work.MaxTokens, 0, b.tuning.ReserveQuantile)
+// reserve records a placed call on its engines. prefillEngine is decode when the decode engine does the prefill itself.
+func (a *Books) reserve(
+	st *decisionState, w *waitingCall, decode, prefillEngine *engine, prefillMillis float64,
+) turmericwall.Placement {
+	request := w.request
+	prefillEndsAt := st.now.Add(millis(prefillMillis))
+	prefillEngine.prefillBacklog = prefillEngine.pendingPrefillTokens(st.now, a.prefillSpeedOf(st.now, prefillEngine)) +
+		float64(request.Work.PromptTokens)
+	prefillEngine.prefillBacklogAt = st.now
+	decode.runs[request.ID] = &run{
+		owner: request.Owner, work: request.Work, firstTokenAt: prefillEndsAt.Add(millis(a.tuning.FirstEventMarginMillis)),
+		prefillEngineID: prefillEngine.upstream.ID, prefilling: true, placedAt: st.now,
+	}
+	added := a.forecast(request).profile(prefillMillis, decode.memoryProjection.speed)
+	decode.memoryProjection.add(added.shifted(decode.memoryProjection.elapsedMillis(st.now)))
+	st.usedTokens += added.tokensAt(added.endMillis, decode.memoryProjection.speed)
+	decode.allocatedTokens += added.tokensAt(added.endMillis, decode.memoryProjection.speed)
+	a.engineByCall[request.ID] = decode.upstream.ID
+	a.recordPlacement(st.now, decode, prefillEngine)
+	length := expectedLength(request.Work.HintTokens, request.Work.MaxTokens, 0, a.tuning.ReserveQuantile)
 	placement := turmericwall.Placement{
-		ID: ask.ID, Decode: decode.upstream, ReserveTokens: ask.Work.PromptTokens + int(length),
-		ReadDeadline: readAt, Late: w.late, Reason: "memory expected to suffice",
+		ID: request.ID, Decode: decode.upstream, ReserveTokens: request.Work.PromptTokens + int(length),
+		ReadDeadline: prefillEndsAt, Late: w.late, Reason: "memory expected to suffice",
 	}
-	if reader != decode {
-		placement.Prefill = reader.upstream
+	if prefillEngine != decode {
+		placement.Prefill = prefillEngine.upstream
 	}
 	return placement
 }
 
-// forecast is what the call will need once its prompt is read.
-func (b *Books) forecast(ask turmericwall.PlaceAsk) forecast {
-	return forecastOf(ask.Work, 0, b.tuning.LengthQuantile)
+// forecast returns the memory that the call will need once its prompt is prefilled.
+func (a *Books) forecast(request turmericwall.PlaceAsk) forecast {
+	return forecastOf(request.Work, 0, a.tuning.LengthQuantile)
 }
 
-// sortByID puts engines in a fixed order, so that equal input gives equal decisions.
+// sortByID sorts the engines, so that equal input gives equal decisions.
 func sortByID(engines []*engine) {
 	sort.Slice(engines, func(i, j int) bool { return engines[i].upstream.ID < engines[j].upstream.ID })
 }
--- a/internal/placement/twbooks/ejection_test.go
+++ b/internal/placement/twbooks/ejection_test.go
@@ -10,28 +10,28 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Load: forty calls a second for 6.5 seconds, of which two in twenty decode engines fail each at once. An engine that
-// fails its calls at once is always the emptiest, and draws them all.
-func TestEnginesThatFailAtOnceDrawFewCalls(t *testing.T) {
+// Guards against engines that fail their calls at once and therefore always have the most free memory, so that they get
+// all calls. Forty calls per second arrive for 6.5 seconds; two of twenty decode engines fail.
+func TestFailingEnginesGetFewCalls(t *testing.T) {
 	g := NewWithT(t)
-	b := books(5, 20)
+	a := newAllocator(5, 20)
 	failing := map[string]bool{"d00": true, "d01": true}
 	lost, served := 0, 0
 	ends := make(map[time.Time][]turmericwall.PlacementEnd)
 	for millis := 0; millis < 6500; millis += 25 {
 		at := start.Add(time.Duration(millis) * time.Millisecond)
-		for due, list := range ends {
-			if due.After(at) {
+		for targetAt, list := range ends {
+			if targetAt.After(at) {
 				continue
 			}
 			for _, end := range list {
-				b.News(at, end)
+				a.ApplyUpdate(at, end)
 			}
-			delete(ends, due)
+			delete(ends, targetAt)
 		}
 		id := fmt.Sprint("call", millis)
-		b.Ask(at, ask(id, at, 2000, 300))
-		for _, p := range b.Decide(at).Placed {
+		a.Enqueue(at, placeRequest(id, at, 2000, 300))
+		for _, p := range a.Decide(at).Placed {
 			end := turmericwall.PlacementEnd{ID: p.ID, PromptRead: true, PromptMillis: 40}
 			if failing[p.Decode.ID] {
 				lost++
@@ -49,34 +49,36 @@
 	g.Expect(served).To(BeNumerically(">=", 250))
 }
 
-// The network between daemons and engines fails for a moment; every engine is ejected and all calls are refused.
+// Guards against refusing all calls when the network between daemons and engines fails briefly and every engine fails a
+// call.
 func TestMostEnginesStayInUseWhenAllFail(t *testing.T) {
 	g := NewWithT(t)
-	b := books(5, 20)
+	a := newAllocator(5, 20)
 	for _, u := range engines(5, 20) {
-		b.News(start, turmericwall.PlacementEnd{ID: "none", Failed: u.ID})
+		a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: "none", Failed: u.ID})
 	}
 	at := start.Add(100 * time.Millisecond)
 	used := make(map[string]bool)
 	for n := range 24 {
-		b.Ask(at, ask(fmt.Sprint("call", n), at, 500, 300))
+		a.Enqueue(at, placeRequest(fmt.Sprint("call", n), at, 500, 300))
 	}
-	for _, p := range b.Decide(at).Placed {
+	for _, p := range a.Decide(at).Placed {
 		used[p.Decode.ID] = true
 	}
 	g.Expect(len(used)).To(BeNumerically(">=", 12))
 }
 
-// Exports lapse one after the other, and the only reader that can be on time is out for seconds.
-func TestADoubtedEngineIsSoonUsedAgain(t *testing.T) {
+// Guards against a long ejection of the only prefill engine that can be on time, when exports expire one after the
+// other.
+func TestSuspectedEngineIsUsedAgainAfterBackoff(t *testing.T) {
 	g := NewWithT(t)
-	b := books(1, 2)
+	a := newAllocator(1, 2)
 	for millis := 0; millis < 2000; millis += 100 {
-		b.News(start.Add(time.Duration(millis)*time.Millisecond), turmericwall.PlacementEnd{ID: "none", Doubted: "p00"})
+		a.ApplyUpdate(start.Add(time.Duration(millis)*time.Millisecond), turmericwall.PlacementEnd{ID: "none", Doubted: "p00"})
 	}
 	at := start.Add(2500 * time.Millisecond)
-	b.Ask(at, ask("call", at, 500, 300))
-	placed := b.Decide(at).Placed
+	a.Enqueue(at, placeRequest("call", at, 500, 300))
+	placed := a.Decide(at).Placed
 	g.Expect(placed).To(HaveLen(1))
 	g.Expect(placed[0].Prefill.ID).To(Equal("p00"))
 }
--- a/internal/placement/twbooks/engine.go
+++ b/internal/placement/twbooks/engine.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// firstTokensPerMilli is the answer speed of one run assumed before the first answer ended.
-	firstTokensPerMilli = 0.7
-	// firstReadPerMilli is the prompt reading speed assumed before the first prompt was read, in tokens.
-	firstReadPerMilli = 40
-	// learnShare is how much one new measurement changes a speed.
-	learnShare = 0.2
-	// travelMillis is the way of the calls around the reading of a prompt: a round trip and the answers' overhead.
-	travelMillis = 6
-	// priorTokens is the weight of the speed assumed before the first prompt, in tokens: about three prompts.
-	priorTokens = 15000
-	// keepShare is how much earlier readings count when another one ends: about ten are remembered.
-	keepShare = 0.9
-	// minMeasuredMillis is the shortest span that a speed is learned from.
+	// initialDecodeSpeed is the speed of one answer until the first one has been measured, in tokens per millisecond.
+	initialDecodeSpeed = 0.7
+	// initialPrefillSpeed is the prefill speed until the first prompt has been measured, in tokens per millisecond.
+	initialPrefillSpeed = 40
+	// measurementWeight is the weight of a new measurement in a moving average.
+	measurementWeight = 0.2
+	// prefillOverheadMillis is the network round trip and the processing time of the requests around a prefill.
+	prefillOverheadMillis = 6
+	// priorWeightTokens is the weight of the assumed prefill speed, in tokens; it equals about three prompts.
+	priorWeightTokens = 15000
+	// prefillDecay is the factor by which the weight of earlier prefills decreases with each new one, so that about ten
+	// count.
+	prefillDecay = 0.9
+	// minMeasuredMillis is the shortest answer time that a decode speed is measured from.
 	minMeasuredMillis = 20
 )
 
@@ -28,76 +29,80 @@
 type run struct {
 	owner string
 	work  turmericwall.ModelWork
-	// firstAt is when the first token is expected, and then when it came.
-	firstAt time.Time
-	// readBy is the engine that reads the prompt.
-	readBy string
-	// placedAt is when the reading was asked for.
+	// firstTokenAt is when the first token is expected, and once it has been generated, when that was.
+	firstTokenAt time.Time
+	// prefillEngineID is the engine that does the prefill.
+	prefillEngineID string
+	// placedAt is when the prefill was requested.
 	placedAt time.Time
-	// reading tells that the prompt is not read yet.
-	reading bool
-	// kept tells that the engine kept the prompt from before: its reading says nothing of the engine's speed.
-	kept bool
+	// prefilling is set until the prefill has ended.
+	prefilling bool
+	// promptCached is set when the engine is expected to have the prompt in its cache. The duration of such a prefill
+	// is no measure of the engine's speed.
+	promptCached bool
 }
 
-// engine is what the books know of one engine.
+// engine is the state of one engine.
 type engine struct {
 	upstream turmericwall.Upstream
 	runs     map[string]*run
-	// projected is the newest projection of the runs; nil when they changed since.
-	projected *projection
-	// backlog is the prompt tokens that wait to be read here, as of backlogAt.
-	backlog   float64
-	backlogAt time.Time
-	// readTokens were read in readMillis, older ones counting less.
-	readTokens, readMillis float64
-	// readSpeed is how fast the engine reads prompts in its role, in tokens a millisecond; 0 while unknown.
-	readSpeed float64
-	// answerSpeed is how fast one answer grows here, in tokens a millisecond; 0 while unknown.
-	answerSpeed float64
-	// readAt is when the engine last finished a prompt.
-	readAt time.Time
-	// ejected tells that the engine gets no call in this step because calls failed there.
+	// memoryProjection is the latest projection of the runs; nil when they have changed since.
+	memoryProjection *projection
+	// prefillBacklog is the number of prompt tokens that wait for their prefill here, as of prefillBacklogAt.
+	prefillBacklog   float64
+	prefillBacklogAt time.Time
+	// prefillTokens took prefillMillis to prefill, with a lower weight for earlier ones.
+	prefillTokens, prefillMillis float64
+	// prefillSpeed is the measured prefill speed in tokens per millisecond; 0 while unknown.
+	prefillSpeed float64
+	// decodeSpeed is the measured speed of one answer in tokens per millisecond; 0 while unknown.
+	decodeSpeed float64
+	// lastPrefillAt is when the engine last finished a prefill.
+	lastPrefillAt time.Time
+	// ejected is set when the engine gets no calls in this decision because calls failed there.
 	ejected bool
-	// closedUntil is when the engine may be tried again after it refused for want of memory.
-	closedUntil time.Time
-	refusals    int
-	// taken is the memory that all runs placed here so far needed, in tokens.
-	taken float64
+	// backoffUntil is when the engine may get calls again after it refused one for lack of memory or was suspected of
+	// having failed one.
+	backoffUntil time.Time
+	// fullRefusals counts the refusals for lack of memory since the last finished prefill, up to four.
+	fullRefusals int
+	// allocatedTokens is the memory of all runs that were placed here so far, including those that have ended.
+	allocatedTokens float64
 }
 
-// made is how many tokens the run has by the time at.
-func (r *run) made(at time.Time, speed float64) float64 {
-	made := math.Max(0, float64(at.Sub(r.firstAt).Milliseconds())) * speed
+// generatedTokens returns how many tokens the run is expected to have generated by the time at.
+func (r *run) generatedTokens(at time.Time, speed float64) float64 {
+	generated := math.Max(0, float64(at.Sub(r.firstTokenAt).Milliseconds())) * speed
 	if r.work.MaxTokens > 0 {
-		made = math.Min(made, float64(r.work.MaxTokens))
+		generated = math.Min(generated, float64(r.work.MaxTokens))
 	}
-	return made
+	return generated
 }
 
-// waitingRead is the backlog of prompt tokens at the time now.
-func (e *engine) waitingRead(now time.Time, speed float64) float64 {
-	return math.Max(0, e.backlog-speed*float64(now.Sub(e.backlogAt).Milliseconds()))
+// pendingPrefillTokens returns the prefill backlog at the time now, in tokens.
+func (e *engine) pendingPrefillTokens(now time.Time, speed float64) float64 {
+	return math.Max(0, e.prefillBacklog-speed*float64(now.Sub(e.prefillBacklogAt).Milliseconds()))
 }
 
-// finished takes the end of a prompt's reading and learns the speed from it. An engine reads one prompt after
-// another: the reading began when it was asked for, or when the prompt before it was finished.
-func (e *engine) finished(now time.Time, r *run, speed float64) {
-	span := float64(now.Sub(r.placedAt).Milliseconds()) - travelMillis
-	if e.readAt.After(r.placedAt) {
-		span = float64(now.Sub(e.readAt).Milliseconds())
+// measurePrefill updates the engine's prefill speed with a finished prefill. An engine prefills one prompt after
+// another, so a prefill began when it was requested or when the one before it ended.
+func (e *engine) measurePrefill(now time.Time, r *run, speed float64) {
+	durationMillis := float64(now.Sub(r.placedAt).Milliseconds()) - prefillOverheadMillis
+	if e.lastPrefillAt.After(r.placedAt) {
+		durationMillis = float64(now.Sub(e.lastPrefillAt).Milliseconds())
 	}
-	span = math.Max(span, 0)
-	if e.readMillis == 0 || now.Sub(e.readAt) > forgetSpan {
-		e.readTokens = priorTokens
-		e.readMillis = priorTokens / speed
+	durationMillis = math.Max(durationMillis, 0)
+	if e.prefillMillis == 0 || now.Sub(e.lastPrefillAt) > speedValidity {
+		e.prefillTokens = priorWeightTokens
+		e.prefillMillis = priorWeightTokens / speed
 	}
-	// Tokens and time are summed apart: prompts that are read side by side end together, and the mean of their
-	// speeds would be far above the engine's.
-	e.readTokens = keepShare*e.readTokens + float64(r.work.PromptTokens)
-	e.readMillis = keepShare*e.readMillis + span
-	e.readSpeed = e.readTokens / e.readMillis
-	e.readAt = now
+	// Tokens and durations are summed separately: prompts that are prefilled in parallel end together, and the mean of
+	// their speeds would be far above the engine's.
+	e.prefillTokens = prefillDecay*e.prefillTokens + float64(r.work.PromptTokens)
+	e.prefillMillis = prefillDecay*e.prefillMillis + durationMillis
+	e.prefillSpeed = e.prefillTokens / e.prefillMillis
+	e.lastPrefillAt = now
 }
 
-func learn(old, measured float64) float64 { return old + learnShare*(measured-old) }
+// movingAverage returns the exponential moving average after a new measurement.
+func movingAverage(old, measured float64) float64 { return old + measurementWeight*(measured-old) }
--- a/internal/placement/twbooks/kept.go
+++ b/internal/placement/twbooks/kept.go
@@ -6,96 +6,102 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// placeWhereKept places a caller that comes back on the engine that answered it before.
+// placeOnCachedPrompt places a retry on the decode engine that still has the caller's prompt in its cache.
 //
-// Load pattern: a daemon is killed, and all its callers come back at once through others. Their prompts were read already,
-// and their engines still keep them. Read again elsewhere, they queue before the prompts of fresh calls, and all are late.
-func (b *Books) placeWhereKept(st *step, w *waiter) (turmericwall.Placement, bool) {
-	e, tokens := b.whereKept(st, w.ask)
-	if e == nil || !b.open(st.now, e, w.ask) || len(e.runs) >= b.slots(e) {
+// When a daemon is killed, all its callers retry at once at other daemons. If their prompts were prefilled again, they
+// would queue before the prompts of new calls and all of them would be late.
+func (a *Books) placeOnCachedPrompt(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
+	e, tokens := a.engineWithPrompt(st, w.request)
+	if e == nil || !a.acceptsCall(st.now, e, w.request) || len(e.runs) >= a.slotLimit(e) {
 		return turmericwall.Placement{}, false
 	}
-	speed := b.speed(st.now, e)
-	readMillis := (e.waitingRead(st.now, speed)+float64(w.ask.Work.PromptTokens-tokens))/speed + travelMillis
-	if !w.late && !b.onTime(st.now, w, readMillis) {
+	speed := a.prefillSpeedOf(st.now, e)
+	prefillMillis := (e.pendingPrefillTokens(st.now, speed)+float64(w.request.Work.PromptTokens-tokens))/speed +
+		prefillOverheadMillis
+	if !w.late && !a.meetsTarget(st.now, w, prefillMillis) {
 		return turmericwall.Placement{}, false
 	}
-	added := b.forecast(w.ask).span(readMillis, e.projected.speed).later(e.projected.passed(st.now))
-	if e.projected.peak(added, b.tuning.Deviations) > b.tuning.MemoryShare*float64(b.plan.MemoryTokens) {
+	added := a.forecast(w.request).profile(prefillMillis, e.memoryProjection.speed).
+		shifted(e.memoryProjection.elapsedMillis(st.now))
+	if e.memoryProjection.peak(added, a.tuning.Deviations) > a.tuning.MemoryShare*float64(a.plan.MemoryTokens) {
 		return turmericwall.Placement{}, false
 	}
-	placement := b.take(st, w, e, e, readMillis)
+	placement := a.reserve(st, w, e, e, prefillMillis)
 	placement.Reason = "its prompt is kept there"
-	e.backlog -= float64(tokens)
-	e.taken -= float64(tokens)
-	e.runs[w.ask.ID].kept = true
+	e.prefillBacklog -= float64(tokens)
+	e.allocatedTokens -= float64(tokens)
+	e.runs[w.request.ID].promptCached = true
 	return placement, true
 }
 
-// whereKept is the decode engine that still keeps the call's prompt, and how many tokens of it; nil when there is none.
-func (b *Books) whereKept(st *step, ask turmericwall.PlaceAsk) (*engine, int) {
-	if !b.enginesKeep(st.now) {
+// engineWithPrompt returns the decode engine that still has the call's prompt in its cache, and how many tokens of it;
+// nil when there is none.
+func (a *Books) engineWithPrompt(st *decisionState, request turmericwall.PlaceAsk) (*engine, int) {
+	if !a.promptsStayCached(st.now) {
 		return nil, 0
 	}
-	known := b.callers.kept(ask)
-	tokens := min(known.tokens, ask.Work.PromptTokens)
-	e, ok := b.engines[known.engine.ID]
+	known := a.callers.cachedPrompt(request)
+	tokens := min(known.cachedTokens, request.Work.PromptTokens)
+	e, ok := a.engines[known.engine.ID]
 	if !ok || tokens == 0 || e.upstream.Key() != known.engine || e.upstream.Role != turmericwall.RoleDecode {
 		return nil, 0
 	}
-	if b.thrownOut(st, e, known) {
+	if a.promptEvicted(st, e, known) {
 		return nil, 0
 	}
 	return e, tokens
 }
 
-// thrownOut tells that the engine must have thrown the caller's prompt out: the prompts used least lately yield to runs,
-// and since then more came than it can hold beside those that were under way.
-func (b *Books) thrownOut(st *step, e *engine, known caller) bool {
+// promptEvicted reports whether the engine must have evicted the caller's prompt. Engines evict the least recently used
+// prompts for new runs, and since the prompt's last use more was allocated than fits beside the runs of that time.
+func (a *Books) promptEvicted(st *decisionState, e *engine, known caller) bool {
 	held := 0.0
 	for _, r := range e.runs {
-		if r.placedAt.Before(known.usedAt) {
-			held += float64(r.work.PromptTokens) + r.made(st.now, b.answerSpeedOf(e))
+		if r.placedAt.Before(known.lastUsedAt) {
+			held += float64(r.work.PromptTokens) + r.generatedTokens(st.now, a.decodeSpeedOf(e))
 		}
 	}
-	return e.taken-known.taken+held > float64(b.plan.MemoryTokens)
+	return e.allocatedTokens-known.allocatedAtUse+held > float64(a.plan.MemoryTokens)
 }
 
-// Keeps takes what an engine says that it keeps.
-func (b *Books) Keeps(now time.Time, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
-	e, ok := b.engines[engine.ID]
+// RecordCachedPrompts records the cached prompts that an engine reports. Reports of another incarnation are ignored.
+func (a *Books) RecordCachedPrompts(now time.Time, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
+	e, ok := a.engines[engine.ID]
 	if !ok || e.upstream.Key() != engine {
 		return
 	}
-	b.callers.keeps(now, e, prompts)
+	a.callers.recordCachedPrompts(now, e, prompts)
 }
 
 const (
-	// leastKept is the share of kept prompts below which engines are taken to forget them: read again beside streams, at
-	// half the speed, a prompt costs more than by an engine that reads.
-	leastKept = 0.4
-	// firstKept is the share assumed before the first one.
-	firstKept = 0.7
-	// doubtSpan is how long engines that forget prompts are not tried again: full engines may have room then.
-	doubtSpan = 10 * time.Second
-	// forgottenShare is the part of its reading time from which on a prompt was read again.
-	forgottenShare = 0.5
+	// minCacheHitShare is the share of cache hits below which engines are expected to evict prompts. A cache miss costs
+	// more than a prefill on a prefill engine, because the decode engine prefills at half the speed and delays streams.
+	minCacheHitShare = 0.4
+	// initialCacheHitShare is the share assumed before the first retry.
+	initialCacheHitShare = 0.7
+	// cacheRetryInterval is how long cached prompts are not used after too many misses. Full engines may have free
+	// memory again by then.
+	cacheRetryInterval = 10 * time.Second
+	// cacheMissShare is the share of the expected prefill time from which on a prefill counts as a cache miss.
+	cacheMissShare = 0.5
 )
 
-// enginesKeep tells that prompts are expected to be kept.
-func (b *Books) enginesKeep(now time.Time) bool {
-	if b.keptShare < leastKept && now.Sub(b.keptJudgedAt) > doubtSpan {
-		b.keptShare = firstKept
+// promptsStayCached reports whether engines are expected to keep prompts in their caches.
+func (a *Books) promptsStayCached(now time.Time) bool {
+	if a.cacheHitShare < minCacheHitShare && now.Sub(a.cacheHitShareAt) > cacheRetryInterval {
+		a.cacheHitShare = initialCacheHitShare
 	}
-	return b.keptShare >= leastKept
+	return a.cacheHitShare >= minCacheHitShare
 }
 
-// foundKept learns whether engines keep prompts: full ones throw them out for the next run.
-func (b *Books) foundKept(now time.Time, r *run, end turmericwall.PlacementEnd) {
+// recordCacheOutcome records whether the engine had the prompt in its cache. Full engines evict cached prompts for new
+// runs.
+func (a *Books) recordCacheOutcome(now time.Time, r *run, end turmericwall.PlacementEnd) {
 	found := 0.0
-	if float64(end.PromptMillis) < forgottenShare*float64(r.work.PromptTokens)/b.bestSpeed*b.tuning.OwnReadSlowdown {
+	if float64(end.PromptMillis) <
+		cacheMissShare*float64(r.work.PromptTokens)/a.bestPrefillSpeed*a.tuning.LocalPrefillSlowdown {
 		found = 1
 	}
-	b.keptShare = learn(b.keptShare, found)
-	b.keptJudgedAt = now
+	a.cacheHitShare = movingAverage(a.cacheHitShare, found)
+	a.cacheHitShareAt = now
 }
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twbooks/kept_test.go
@@ -11,40 +11,39 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
 )
 
-// callersCutOff are books of engines that answer so many callers, whose daemon is then killed. Their first events came
-// at start.
-func callersCutOff(g *WithT, callers int) *twbooks.Books {
-	b := books(1, 4)
+// allocatorAfterCrash returns an allocator whose engines answered calls of the given number of callers until their
+// daemon was killed. Their first events arrived at start.
+func allocatorAfterCrash(g *WithT, callers int) *twbooks.Books {
+	a := newAllocator(1, 4)
 	for i := range callers {
-		call := ask(fmt.Sprint("c", i), start, 5000, 2000)
+		call := placeRequest(fmt.Sprint("c", i), start, 5000, 2000)
 		call.Owner = "killed"
-		b.Ask(start, call)
-		g.Expect(b.Decide(start).Placed).To(HaveLen(1))
-		b.News(start, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
+		a.Enqueue(start, call)
+		g.Expect(a.Decide(start).Placed).To(HaveLen(1))
+		a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
 	}
-	b.Forget("killed")
-	return b
+	a.ReleaseOwner("killed")
+	return a
 }
 
-// back is the call of a caller that comes back after a second with a new id.
-func back(i int, at time.Time) turmericwall.PlaceAsk {
-	again := ask(fmt.Sprint("again", i), at, 5000, 2000)
+// retryOf returns the second attempt of a caller, with a new id and the same deadline.
+func retryOf(i int, at time.Time) turmericwall.PlaceAsk {
+	again := placeRequest(fmt.Sprint("again", i), at, 5000, 2000)
 	again.Work.Subject, again.CallerDeadline = fmt.Sprint("c", i), start.Add(13*time.Second)
 	return again
 }
 
-// A daemon is killed, and its eight callers come back through others within a moment. Their prompts were read, and their
-// engines keep them. Queued before the one prefill engine again, the last of them would wait for a second, and a fresh
-// caller behind them too.
-func TestCallersThatComeBackAreAnsweredWhereTheirPromptIsKept(t *testing.T) {
+// Guards against queueing the prompts of eight callers of a killed daemon before the one prefill engine again, although
+// their decode engines still have them cached: the last one and any new call would wait for a second.
+func TestRetriesAreServedFromPromptCache(t *testing.T) {
 	g := NewWithT(t)
-	b := callersCutOff(g, 8)
+	a := allocatorAfterCrash(g, 8)
 	at := start.Add(500 * time.Millisecond)
 	for i := range 8 {
-		b.Ask(at, back(i, at))
+		a.Enqueue(at, retryOf(i, at))
 	}
-	b.Ask(at, ask("fresh", at, 5000, 2000))
-	d := b.Decide(at)
+	a.Enqueue(at, placeRequest("fresh", at, 5000, 2000))
+	d := a.Decide(at)
 	g.Expect(d.Placed).To(HaveLen(9))
 	for _, p := range d.Placed {
 		if p.ID == "fresh" {
@@ -56,57 +55,60 @@
 	}
 }
 
-// The engine crashed and started again under its id. It keeps nothing of before.
-func TestARestartedEngineKeepsNothing(t *testing.T) {
+// Guards against counting on cached prompts of an engine that crashed and restarted under the same id.
+func TestRestartedEngineHasNoCachedPrompts(t *testing.T) {
 	g := NewWithT(t)
-	b := callersCutOff(g, 1)
+	a := allocatorAfterCrash(g, 1)
 	list := engines(1, 4)
 	for i := range list {
 		list[i].StartedMillis = 7
 	}
-	b.List(start, list)
+	a.SetEngines(start, list)
 	at := start.Add(500 * time.Millisecond)
-	b.Ask(at, back(0, at))
-	g.Expect(b.Decide(at).Placed[0].Prefill.ID).To(Equal("p00"))
+	a.Enqueue(at, retryOf(0, at))
+	g.Expect(a.Decide(at).Placed[0].Prefill.ID).To(Equal("p00"))
 }
 
-// Engines that are full throw kept prompts out for the next run. Callers that come back are sent there a few times, wait
-// for the whole prompt beside other streams, and after that go by the engines that read.
-func TestEnginesThatForgetPromptsAreNotReliedOn(t *testing.T) {
+// Guards against retries that are sent again and again to full engines, which evict cached prompts for new runs, and
+// wait there for a prefill beside other streams. After a few misses they go to prefill engines.
+func TestPromptCacheIsNotUsedAfterMisses(t *testing.T) {
 	g := NewWithT(t)
-	b := callersCutOff(g, 8)
+	a := allocatorAfterCrash(g, 8)
 	at := start.Add(500 * time.Millisecond)
 	read := 0
 	for i := range 8 {
-		b.Ask(at, back(i, at))
-		placed := b.Decide(at).Placed
+		a.Enqueue(at, retryOf(i, at))
+		placed := a.Decide(at).Placed
 		g.Expect(placed).To(HaveLen(1))
 		if placed[0].Prefill.ID != "" {
 			read++
 		}
-		b.News(at, turmericwall.PlacementEnd{ID: placed[0].ID, Running: true, PromptRead: true, PromptMillis: 240})
-		b.News(at, turmericwall.PlacementEnd{ID: placed[0].ID})
+		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID, Running: true, PromptRead: true, PromptMillis: 240})
+		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID})
 		at = at.Add(300 * time.Millisecond)
 	}
 	g.Expect(read).To(BeNumerically(">=", 4))
 	at = at.Add(11 * time.Second)
-	b.Keeps(at, turmericwall.UpstreamKey{ID: "d00"}, []turmericwall.KeptPrompt{{Subject: "later", Tokens: 4900}})
-	again := ask("later", at, 5000, 2000)
-	b.Ask(at, again)
-	g.Expect(b.Decide(at).Placed[0].Prefill.ID).To(BeEmpty(), "tried again: the load may have gone")
+	a.RecordCachedPrompts(at, turmericwall.UpstreamKey{ID: "d00"},
+		[]turmericwall.KeptPrompt{{Subject: "later", Tokens: 4900}})
+	again := placeRequest("later", at, 5000, 2000)
+	a.Enqueue(at, again)
+	g.Expect(a.Decide(at).Placed[0].Prefill.ID).To(BeEmpty(), "the cache is used again after the interval")
 }
 
-// All daemons lose power. The new leader knows no caller, but its engines told what they keep: callers that come back are
-// answered there, as if it had placed them before.
-func TestANewLeaderPlacesByWhatEnginesKeep(t *testing.T) {
+// Guards against a leader that knows no caller after all daemons lost power, although its engines have reported their
+// cached prompts.
+func TestNewLeaderUsesReportedCachedPrompts(t *testing.T) {
 	g := NewWithT(t)
-	b := books(1, 4)
-	b.Keeps(start, turmericwall.UpstreamKey{ID: "d02"}, []turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
-	b.Keeps(start, turmericwall.UpstreamKey{ID: "gone"}, []turmericwall.KeptPrompt{{Subject: "c1", Tokens: 4900}})
+	a := newAllocator(1, 4)
+	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "d02"},
+		[]turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
+	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "gone"},
+		[]turmericwall.KeptPrompt{{Subject: "c1", Tokens: 4900}})
 	at := start.Add(200 * time.Millisecond)
-	b.Ask(at, back(0, at))
-	b.Ask(at, back(1, at))
-	d := b.Decide(at)
+	a.Enqueue(at, retryOf(0, at))
+	a.Enqueue(at, retryOf(1, at))
+	d := a.Decide(at)
 	g.Expect(d.Placed).To(HaveLen(2))
 	places := map[string]turmericwall.Placement{d.Placed[0].ID: d.Placed[0], d.Placed[1].ID: d.Placed[1]}
 	g.Expect(places["again0"].Decode.ID).To(Equal("d02"))
@@ -114,23 +116,24 @@
 	g.Expect(places["again1"].Prefill.ID).To(Equal("p00"))
 }
 
-// An engine told that it keeps a prompt. Since then it was given more calls than it has memory for, and has thrown the
-// prompt out. Placed there, the caller would wait for a prompt read beside the others' streams.
-func TestAPromptThatWasSurelyThrownOutIsReadElsewhere(t *testing.T) {
+// Guards against counting on a cached prompt after the engine got more calls than fit into its memory: the caller would
+// wait for a prefill beside other streams.
+func TestEvictedPromptIsPrefilledElsewhere(t *testing.T) {
 	g := NewWithT(t)
-	b := books(1, 1)
-	b.Keeps(start, turmericwall.UpstreamKey{ID: "d00"}, []turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
+	a := newAllocator(1, 1)
+	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "d00"},
+		[]turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
 	at := start
 	for i := range 12 {
-		call := ask(fmt.Sprint("other", i), at, 8000, 1000)
-		b.Ask(at, call)
-		g.Expect(b.Decide(at).Placed).To(HaveLen(1))
-		b.News(at, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
+		call := placeRequest(fmt.Sprint("other", i), at, 8000, 1000)
+		a.Enqueue(at, call)
+		g.Expect(a.Decide(at).Placed).To(HaveLen(1))
+		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
 		at = at.Add(300 * time.Millisecond)
-		b.News(at, turmericwall.PlacementEnd{ID: call.ID})
+		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID})
 	}
-	b.Ask(at, back(0, at))
-	d := b.Decide(at)
+	a.Enqueue(at, retryOf(0, at))
+	d := a.Decide(at)
 	g.Expect(d.Placed).To(HaveLen(1))
 	g.Expect(d.Placed[0].Prefill.ID).To(Equal("p00"))
 }
--- a/internal/placement/twbooks/length.go
+++ b/internal/placement/twbooks/length.go
@@ -3,50 +3,50 @@
 import "math"
 
 const (
-	// lengthSpread is the standard deviation of the logarithm of an answer's length around the caller's hint.
-	// Hints are right in the median; the workloads' sheets give their lengths a spread of 0.5.
-	lengthSpread = 0.5
-	// defaultShare is the part of the answer's bound that is expected when the caller gives no hint.
-	defaultShare = 0.5
+	// lengthLogDeviation is the standard deviation of the logarithm of an answer's length around the caller's hint.
+	// Hints are right in the median; the workload descriptions state this spread.
+	lengthLogDeviation = 0.5
+	// defaultLengthShare is the expected share of the length limit when the caller gives no hint.
+	defaultLengthShare = 0.5
 )
 
-// expectedLength is the length that an answer stays under with the probability quantile, given that it has made
-// tokens already. It never exceeds the answer's bound.
-func expectedLength(hint, most int, made, quantile float64) float64 {
+// expectedLength returns the length in tokens that an answer does not exceed with the probability quantile, given that
+// it has generated tokens already. The result never exceeds the limit; a limit of 0 sets none.
+func expectedLength(hint, limit int, generated, quantile float64) float64 {
 	bound := math.Inf(1)
-	if most > 0 {
-		bound = float64(most)
+	if limit > 0 {
+		bound = float64(limit)
 	}
 	median := float64(hint)
 	if hint <= 0 {
-		median = defaultShare * float64(most)
+		median = defaultLengthShare * float64(limit)
 	}
 	if median <= 0 {
-		return made
+		return generated
 	}
-	passed := 0.0
-	if made > 0 {
-		passed = normal(math.Log(made/median) / lengthSpread)
+	reached := 0.0
+	if generated > 0 {
+		reached = normalCDF(math.Log(generated/median) / lengthLogDeviation)
 	}
-	if passed > 0.995 {
-		return math.Min(bound, made*1.1)
+	if reached > 0.995 {
+		return math.Min(bound, generated*1.1)
 	}
-	share := passed + quantile*(1-passed)
-	length := median * math.Exp(lengthSpread*math.Sqrt2*math.Erfinv(2*share-1))
-	return math.Min(bound, math.Max(length, made))
+	share := reached + quantile*(1-reached)
+	length := median * math.Exp(lengthLogDeviation*math.Sqrt2*math.Erfinv(2*share-1))
+	return math.Min(bound, math.Max(length, generated))
 }
 
-// meanLength is the length that answers have in the mean of many calls: hints are right in the median of the calls, and
-// their own spread makes up for that of the answers.
-func meanLength(hint, most int) float64 {
+// meanLength returns the expected mean length of many answers with this hint, in tokens. Hints are right in the median
+// of the calls, and the spread of the hints makes up for that of the answers.
+func meanLength(hint, limit int) float64 {
 	switch {
 	case hint <= 0:
-		return defaultShare * float64(most)
-	case most > 0:
-		return float64(min(hint, most))
+		return defaultLengthShare * float64(limit)
+	case limit > 0:
+		return float64(min(hint, limit))
 	}
 	return float64(hint)
 }
 
-// normal is the standard normal distribution.
-func normal(x float64) float64 { return 0.5 * math.Erfc(-x/math.Sqrt2) }
+// normalCDF is the cumulative distribution function of the standard normal distribution.
+func normalCDF(x float64) float64 { return 0.5 * math.Erfc(-x/math.Sqrt2) }
--- a/internal/placement/twbooks/ownread.go
+++ b/internal/placement/twbooks/ownread.go
@@ -6,58 +6,61 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// ownReader finds a decode engine that reads the call's prompt itself, and how long that takes.
+// localPrefillEngine returns a decode engine that prefills the call's prompt itself, and how many milliseconds that
+// takes; nil when there is none.
 //
-// Load pattern: prompts come faster than the prefill engines read, because some of them left or all callers came back
-// at once, while the decode engines have room. Refused, the callers would come back to the same queue.
-func (b *Books) ownReader(st *step, w *waiter) (*engine, float64) {
-	decode := b.decoder(st, w.ask, nil, func(e *engine) (float64, bool) {
-		readMillis := b.readMillis(st.now, e, w.ask)
-		return readMillis, b.onTime(st.now, w, readMillis) && b.bearsRead(st.now, e, w)
+// It is used when prompts arrive faster than the prefill engines process them, after the loss of some or when many
+// callers retry at once, while the decode engines have free memory. Refused callers would retry into the same queue.
+func (a *Books) localPrefillEngine(st *decisionState, w *waitingCall) (*engine, float64) {
+	decode := a.leastFilledDecode(st, w.request, nil, func(e *engine) (float64, bool) {
+		prefillMillis := a.prefillMillis(st.now, e, w.request)
+		return prefillMillis, a.meetsTarget(st.now, w, prefillMillis) && a.toleratesLocalPrefill(st.now, e, w)
 	})
 	if decode == nil {
 		return nil, 0
 	}
-	return decode, b.readMillis(st.now, decode, w.ask)
+	return decode, a.prefillMillis(st.now, decode, w.request)
 }
 
-// bearsRead tells that a decode engine may read the prompt beside its streams: either no stream pauses too long, or
-// so few are expected to that refusing the call would be worse. A call that is late anyway disturbs none.
-func (b *Books) bearsRead(now time.Time, e *engine, w *waiter) bool {
-	if b.readsUnnoticed(now, e, w.ask) {
+// toleratesLocalPrefill reports whether a decode engine may prefill the prompt beside its streams: either no stream
+// pauses too long, or so few are expected to that refusing the call would be worse. A late call may not delay any
+// stream.
+func (a *Books) toleratesLocalPrefill(now time.Time, e *engine, w *waitingCall) bool {
+	if a.prefillFitsEventGap(now, e, w.request) {
 		return true
 	}
-	return !w.late && float64(len(e.runs))*b.pauses.LateShare(now) < mostDisturbed
+	return !w.late && float64(len(e.runs))*a.interference.LateShare(now) < maxLateStreams
 }
 
-// readsUnnoticed tells that no stream of the engine pauses too long however large the pieces are in which it reads.
+// prefillFitsEventGap reports whether no stream of the engine pauses too long, however large the engine's prefill
+// chunks are.
 //
-// An engine that reads in large pieces reads nearly the whole prompt with the next token, so the next event of every
-// stream there waits for it: 260 ms for 6,000 tokens where 300 ms are allowed. A second prompt at the same time makes
-// all of them late.
-func (b *Books) readsUnnoticed(now time.Time, e *engine, ask turmericwall.PlaceAsk) bool {
-	if len(e.runs) == 0 || ask.EventGapMillis <= 0 {
+// An engine with large chunks prefills nearly the whole prompt before the next token, so that the next event of every
+// stream waits for it: 260 ms for 6,000 tokens where 300 ms are allowed. A second prompt at the same time makes all of
+// them late.
+func (a *Books) prefillFitsEventGap(now time.Time, e *engine, request turmericwall.PlaceAsk) bool {
+	if len(e.runs) == 0 || request.EventGapMillis <= 0 {
 		return true
 	}
-	event := float64(max(b.plan.TokensPerEvent, 1)) / b.answerSpeedOf(e)
-	speed := b.speed(now, e)
-	most := (b.tuning.GapShare*float64(ask.EventGapMillis) - event) * speed
-	return e.waitingRead(now, speed)+float64(ask.Work.PromptTokens) <= most
+	eventMillis := float64(max(a.plan.TokensPerEvent, 1)) / a.decodeSpeedOf(e)
+	speed := a.prefillSpeedOf(now, e)
+	limitTokens := (a.tuning.EventGapShare*float64(request.EventGapMillis) - eventMillis) * speed
+	return e.pendingPrefillTokens(now, speed)+float64(request.Work.PromptTokens) <= limitTokens
 }
 
-// disturb notes the streams beside which the engine reads a prompt that they may notice.
-func (b *Books) disturb(now time.Time, e *engine, ask turmericwall.PlaceAsk, readMillis float64) {
-	if b.readsUnnoticed(now, e, ask) {
+// watchStreams starts observing the streams that the prefill may delay.
+func (a *Books) watchStreams(now time.Time, e *engine, request turmericwall.PlaceAsk, prefillMillis float64) {
+	if a.prefillFitsEventGap(now, e, request) {
 		return
 	}
-	readAt := now.Add(millis(readMillis))
+	prefillEndsAt := now.Add(millis(prefillMillis))
 	for id, r := range e.runs {
-		if !r.reading {
-			b.pauses.Watch(id, readAt)
+		if !r.prefilling {
+			a.interference.Watch(id, prefillEndsAt)
 		}
 	}
 }
 
-// mostDisturbed is how many streams may be expected to be late for one call that is served: of the callers that are
-// refused about half are served when they come back.
-const mostDisturbed = 0.5
+// maxLateStreams is how many streams may be expected to be late for one placed call: about half of the refused callers
+// are served when they retry.
+const maxLateStreams = 0.5
--- a/internal/placement/twbooks/ownread_test.go
+++ b/internal/placement/twbooks/ownread_test.go
@@ -8,42 +8,43 @@
 	. "github.com/onsi/gomega"
 )
 
-// readersGone replays a peak after all prefill engines but one left: prompts of 5,000 tokens come at three times the
-// speed of the one, and nine decode engines have room for the answers.
-func readersGone(pauses bool) (w *world, asked int) {
-	w = newWorld(1, 9)
-	w.pauses = pauses
+// overloadPrefill simulates a peak after the loss of all prefill engines but one: prompts of 5,000 tokens arrive at
+// three times the speed of that engine, and nine decode engines have memory for the answers.
+func overloadPrefill(pausesStreams bool) (sim *simulation, requested int) {
+	sim = newSimulation(1, 9)
+	sim.pausesStreams = pausesStreams
 	for at := start; at.Before(start.Add(12 * time.Second)); at = at.Add(40 * time.Millisecond) {
-		w.step(at)
-		id := fmt.Sprintf("gone%04d", asked)
-		prompts[id] = 5000
-		w.lengths[id] = 800
-		w.due[id] = at.Add(time.Second)
-		w.books.Ask(at, ask(id, at, 5000, 800))
-		w.decide()
-		asked++
+		sim.advance(at)
+		id := fmt.Sprintf("gone%04d", requested)
+		promptTokens[id] = 5000
+		sim.answerTokens[id] = 800
+		sim.targetAt[id] = at.Add(time.Second)
+		sim.allocator.Enqueue(at, placeRequest(id, at, 5000, 800))
+		sim.decide()
+		requested++
 	}
 	for range 40 {
-		w.step(w.now.Add(100 * time.Millisecond))
+		sim.advance(sim.now.Add(100 * time.Millisecond))
 	}
-	return w, asked
+	return sim, requested
 }
 
-// Two of three prefill engines leave at the peak. The decode engines have memory for twice the answers, and their streams
-// hardly pause while they read. Callers were refused for a minute, one in three, because no engine could be known to bear
-// it. The first trials show that streams do bear it, and then nearly all callers are served.
-func TestDecodeEnginesReadWhenTheReadersAreGone(t *testing.T) {
+// Guards against refusing one call in three after two of three prefill engines have left at the peak, although the
+// decode engines have memory for twice the answers and their streams hardly pause during a prefill. The first trials
+// must show that, and then nearly all calls must be served.
+func TestDecodeEnginesPrefillAfterLossOfPrefillEngines(t *testing.T) {
 	g := NewWithT(t)
-	w, asked := readersGone(false)
-	t.Logf("asked %d, on time %d, late %d, refused %d", asked, w.onTime, w.late, w.refused)
-	g.Expect(w.onTime).To(BeNumerically(">", asked*4/5))
+	sim, requested := overloadPrefill(false)
+	t.Logf("requested %d, on time %d, late %d, refused %d", requested, sim.onTime, sim.late, sim.refused)
+	g.Expect(sim.onTime).To(BeNumerically(">", requested*4/5))
 }
 
-// The same with engines that read so much at once that each stream beside it pauses too long. A few trials show it; going
-// on would make a stream late for each call that is served.
-func TestEnginesWhoseStreamsPauseDoNotGoOnReading(t *testing.T) {
+// Guards against local prefills that make a stream late for each placed call, on engines whose streams pause too long.
+// A few trials must show that.
+func TestLocalPrefillStopsWhenStreamsPause(t *testing.T) {
 	g := NewWithT(t)
-	w, asked := readersGone(true)
-	t.Logf("asked %d, on time %d, late %d, refused %d, paused %d", asked, w.onTime, w.late, w.refused, len(w.paused))
-	g.Expect(len(w.paused)).To(BeNumerically("<", asked/20))
+	sim, requested := overloadPrefill(true)
+	t.Logf("requested %d, on time %d, late %d, refused %d, paused %d",
+		requested, sim.onTime, sim.late, sim.refused, len(sim.paused))
+	g.Expect(len(sim.paused)).To(BeNumerically("<", requested/20))
 }
--- a/internal/placement/twbooks/projection.go
+++ b/internal/placement/twbooks/projection.go
@@ -7,110 +7,119 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// projectionSpan is how long a projection is used while its engine's runs stay the same: a run grows by some hundred
-// tokens in it.
-const projectionSpan = 150 * time.Millisecond
-
-// span is one run in milliseconds from a projection's origin: its memory then, when it starts to grow and when it ends.
-// variance is that of its length, in tokens squared.
-type span struct{ held, first, end, variance float64 }
-
-// at is the span's memory at a moment; it holds none after its end.
-func (s span) at(moment, speed float64) float64 {
-	if s.end < moment {
+// projectionValidity is how long a projection is used while its engine's runs stay the same. A run generates about a
+// hundred tokens in it.
+const projectionValidity = 150 * time.Millisecond
+
+// memoryProfile is the expected memory of one run over time, in milliseconds from a projection's origin: the run holds
+// heldTokens, grows from startMillis on and releases its memory after endMillis. variance is that of its length, in
+// tokens squared.
+type memoryProfile struct{ heldTokens, startMillis, endMillis, variance float64 }
+
+// tokensAt returns the run's memory at the offset; 0 after its end.
+func (p memoryProfile) tokensAt(offsetMillis, speed float64) float64 {
+	if p.endMillis < offsetMillis {
 		return 0
 	}
-	return s.held + speed*math.Max(0, moment-s.first)
+	return p.heldTokens + speed*math.Max(0, offsetMillis-p.startMillis)
 }
 
-// later is the span as seen from an origin that lies so many milliseconds earlier.
-func (s span) later(millis float64) span {
-	s.first += millis
-	s.end += millis
-	return s
+// shifted returns the profile relative to an origin that lies the given milliseconds earlier.
+func (p memoryProfile) shifted(millis float64) memoryProfile {
+	p.startMillis += millis
+	p.endMillis += millis
+	return p
 }
 
-// need is the memory at one moment: what is expected, and its variance.
-type need struct{ tokens, variance float64 }
+// memoryNeed is the expected memory of all runs at one time, and its variance.
+type memoryNeed struct{ tokens, variance float64 }
 
-func (n *need) add(s span, moment, speed float64) {
-	if s.end < moment {
+func (n *memoryNeed) add(s memoryProfile, offsetMillis, speed float64) {
+	if s.endMillis < offsetMillis {
 		return
 	}
-	n.tokens += s.at(moment, speed)
+	n.tokens += s.tokensAt(offsetMillis, speed)
 	n.variance += s.variance
 }
 
-// projection is the memory that one engine's runs will need.
+// projection is the expected memory of one engine's runs over time.
 type projection struct {
-	origin time.Time
-	spans  []span
-	// before is the need just before the end of each span.
-	before []need
-	speed  float64
+	origin   time.Time
+	profiles []memoryProfile
+	// needBeforeEnd is the memory need just before the end of each profile.
+	needBeforeEnd []memoryNeed
+	speed         float64
 }
 
-// project computes the projection of the engine's runs.
+// project computes the projection of the engine's runs. The speed is in tokens per millisecond.
 func (e *engine) project(now time.Time, speed, quantile float64) *projection {
-	p := &projection{origin: now, spans: make([]span, 0, len(e.runs)+2), speed: speed}
+	p := &projection{origin: now, profiles: make([]memoryProfile, 0, len(e.runs)+2), speed: speed}
 	for _, r := range e.runs {
-		made := r.made(now, speed)
-		first := math.Max(0, float64(r.firstAt.Sub(now).Milliseconds()))
-		p.spans = append(p.spans, forecastOf(r.work, made, quantile).span(first, speed))
+		generated := r.generatedTokens(now, speed)
+		startMillis := math.Max(0, float64(r.firstTokenAt.Sub(now).Milliseconds()))
+		p.profiles = append(p.profiles, forecastOf(r.work, generated, quantile).profile(startMillis, speed))
 	}
-	p.before = make([]need, len(p.spans), len(p.spans)+2)
-	for i, s := range p.spans {
-		p.before[i] = p.sum(s.end)
+	p.needBeforeEnd = make([]memoryNeed, len(p.profiles), len(p.profiles)+2)
+	for i, s := range p.profiles {
+		p.needBeforeEnd[i] = p.needAt(s.endMillis)
 	}
 	return p
 }
 
-// forecast is what a run will need, in tokens: what it holds, and how much its answer is expected to grow.
-type forecast struct{ held, growth, variance float64 }
-
-// forecastOf is the forecast of a call that has made tokens already.
-func forecastOf(work turmericwall.ModelWork, made, quantile float64) forecast {
-	length := expectedLength(work.HintTokens, work.MaxTokens, made, quantile)
-	deviation := expectedLength(work.HintTokens, work.MaxTokens, made, math.Min(quantile+oneDeviation, 0.99)) - length
-	return forecast{held: float64(work.PromptTokens) + made, growth: length - made, variance: deviation * deviation}
+// forecast is the expected memory of a run in tokens: what it holds, how much its answer is expected to grow, and the
+// variance of that.
+type forecast struct{ heldTokens, growth, variance float64 }
+
+// forecastOf returns the forecast of a call that has generated tokens already.
+func forecastOf(work turmericwall.ModelWork, generated, quantile float64) forecast {
+	length := expectedLength(work.HintTokens, work.MaxTokens, generated, quantile)
+	deviation := expectedLength(work.HintTokens, work.MaxTokens, generated,
+		math.Min(quantile+deviationProbability, 0.99)) - length
+	return forecast{
+		heldTokens: float64(work.PromptTokens) + generated, growth: length - generated, variance: deviation * deviation,
+	}
 }
 
-// span is the run on an engine of this speed, growing from the moment first on.
-func (f forecast) span(first, speed float64) span {
-	return span{held: f.held, first: first, end: first + f.growth/speed, variance: f.variance}
+// profile returns the run's memory on an engine of this speed, growing from startMillis on.
+func (f forecast) profile(startMillis, speed float64) memoryProfile {
+	return memoryProfile{
+		heldTokens: f.heldTokens, startMillis: startMillis, endMillis: startMillis + f.growth/speed, variance: f.variance,
+	}
 }
 
-// oneDeviation is the probability between the middle of a distribution and one standard deviation above it.
-const oneDeviation = 0.34
+// deviationProbability is the probability between the mean of a normal distribution and one standard deviation above
+// it.
+const deviationProbability = 0.34
 
-// peak is the most memory that the runs and one more need together at any time from now on, in tokens, with so many
-// standard deviations above what is expected. Memory only grows between the ends of runs, so only the moments just
-// before an end are looked at.
-func (p *projection) peak(added span, deviations float64) float64 {
-	last := p.sum(added.end)
-	last.add(added, added.end, p.speed)
+// peak returns the highest memory need of the runs and the added one from now on, in tokens, with the given number of
+// standard deviations above the expected value. Between two ends of runs the need only grows, so only the times just
+// before an end are computed.
+func (p *projection) peak(added memoryProfile, deviations float64) float64 {
+	last := p.needAt(added.endMillis)
+	last.add(added, added.endMillis, p.speed)
 	highest := last.tokens + deviations*math.Sqrt(last.variance)
-	for i, s := range p.spans {
-		n := p.before[i]
-		n.add(added, s.end, p.speed)
+	for i, s := range p.profiles {
+		n := p.needBeforeEnd[i]
+		n.add(added, s.endMillis, p.speed)
 		highest = math.Max(highest, n.tokens+deviations*math.Sqrt(n.variance))
 	}
 	return highest
 }
 
-// add takes one more run into the projection.
-func (p *projection) add(added span) {
-	for i, s := range p.spans {
-		p.before[i].add(added, s.end, p.speed)
+// add adds one run to the projection.
+func (p *projection) add(added memoryProfile) {
+	for i, s := range p.profiles {
+		p.needBeforeEnd[i].add(added, s.endMillis, p.speed)
 	}
-	p.spans = append(p.spans, added)
-	p.before = append(p.before, p.sum(added.end))
+	p.profiles = append(p.profiles, added)
+	p.needBeforeEnd = append(p.needBeforeEnd, p.needAt(added.endMillis))
 }
 
-func (p *projection) sum(moment float64) need {
-	var total need
-	for _, s := range p.spans {
-		total.add(s, moment, p.speed)
+// needAt returns the memory need of all runs at the offset.
+func (p *projection) needAt(offsetMillis float64) memoryNeed {
+	var total memoryNeed
+	for _, s := range p.profiles {
+		total.add(s, offsetMillis, p.speed)
 	}
 	return total
 }
--- a/internal/placement/twbooks/refuse.go
+++ b/internal/placement/twbooks/refuse.go
@@ -9,100 +9,104 @@
 )
 
 const (
-	// spreadMillis spreads the returns of callers that are turned away in the same moment, in milliseconds.
-	spreadMillis = 300
-	// idlePace is the pace of returns while nothing runs, in calls a millisecond.
-	idlePace = 0.02
-	// leastPace keeps the time to come back finite.
-	leastPace = 0.002
-	// unknownRoomMillis is the wait for room when more calls wait than run.
-	unknownRoomMillis = 500
+	// retrySpreadMillis is the spread of the retry times of callers that are refused at the same time.
+	retrySpreadMillis = 300
+	// idleRetryRate is the rate of retries while no run is placed, in calls per millisecond.
+	idleRetryRate = 0.02
+	// minRetryRate is the lowest rate of retries, in calls per millisecond; it keeps retry times finite.
+	minRetryRate = 0.002
+	// unknownWaitMillis is the expected wait per waiting call when more calls wait than runs are placed.
+	unknownWaitMillis = 500
 )
 
-// refuse turns a call away whose first event can't be on time any more; ahead calls wait before it.
-func (b *Books) refuse(st *step, w *waiter, ahead int) (Verdict, bool) {
-	if b.plan.MemoryTokens > 0 && w.ask.Work.PromptTokens >= b.plan.MemoryTokens {
-		return Verdict{ID: w.ask.ID, Reason: "the prompt exceeds an engine's memory", Never: true}, true
+// refuse decides whether a call that was not placed is refused, because its first event can't be on time any more.
+// callsAhead is how many calls wait before it.
+func (a *Books) refuse(st *decisionState, w *waitingCall, callsAhead int) (Refusal, bool) {
+	if a.plan.MemoryTokens > 0 && w.request.Work.PromptTokens >= a.plan.MemoryTokens {
+		return Refusal{ID: w.request.ID, Reason: "the prompt exceeds an engine's memory", Permanent: true}, true
 	}
-	if w.ask.Moving {
-		return Verdict{ID: w.ask.ID, Reason: "no engine has memory for the run", RetryAt: st.now}, true
+	if w.request.Moving {
+		return Refusal{ID: w.request.ID, Reason: "no engine has memory for the run", RetryAt: st.now}, true
 	}
-	latest := w.ask.TargetDeadline.Add(-millis(b.tuning.StartMarginMillis + float64(w.ask.Work.PromptTokens)/b.poolSpeed(st.now)))
-	if longest := w.since.Add(millis(b.tuning.WaitMillis)); longest.Before(latest) {
+	latest := w.request.TargetDeadline.Add(
+		-millis(a.tuning.FirstEventMarginMillis + float64(w.request.Work.PromptTokens)/a.poolPrefillSpeed(st.now)))
+	if longest := w.enqueuedAt.Add(millis(a.tuning.MaxWaitMillis)); longest.Before(latest) {
 		latest = longest
 	}
-	if w.late && w.returned {
-		latest = w.since.Add(millis(b.tuning.LateWaitMillis))
+	if w.late && w.isRetry {
+		latest = w.enqueuedAt.Add(millis(a.tuning.MaxLateRetryWaitMillis))
 	}
-	if w.ask.GiveUpDeadline.Before(latest) {
-		latest = w.ask.GiveUpDeadline
+	if w.request.GiveUpDeadline.Before(latest) {
+		latest = w.request.GiveUpDeadline
 	}
-	room := st.roomAt(ahead)
-	if w.late && w.returned && st.fill() <= b.tuning.LateShare {
-		// The call waits for its prompt to be read, not for memory.
-		room = st.now
+	availableAt := st.placeAvailableAt(callsAhead)
+	if w.late && w.isRetry && st.memoryFill() <= a.tuning.LateMemoryShare {
+		// The call waits for a prefill engine, not for memory.
+		availableAt = st.now
 	}
-	if !room.After(latest) && st.now.Before(latest) {
-		return Verdict{}, false
+	if !availableAt.After(latest) && st.now.Before(latest) {
+		return Refusal{}, false
 	}
-	return Verdict{ID: w.ask.ID, Reason: st.reason(w, ahead, room), RetryAt: b.invite(st, w, room)}, true
+	return Refusal{
+		ID: w.request.ID, Reason: st.refusalReason(w, callsAhead, availableAt), RetryAt: a.scheduleRetry(st, w, availableAt),
+	}, true
 }
 
-// reason says what decided a refusal, for the log and the caller.
-func (s *step) reason(w *waiter, ahead int, room time.Time) string {
+// refusalReason returns the reason of a refusal for the log and the caller.
+func (s *decisionState) refusalReason(w *waitingCall, callsAhead int, availableAt time.Time) string {
 	missing := "no engine has memory in time"
-	if w.unread {
+	if w.noPrefillInTime {
 		missing = "no engine reads the prompt in time"
 	}
 	return fmt.Sprintf("%s: %.0f%% taken by %d runs, %d calls wait before, room in %d ms",
-		missing, 100*s.fill(), len(s.ends), ahead, room.Sub(s.now).Milliseconds())
+		missing, 100*s.memoryFill(), len(s.runEnds), callsAhead, availableAt.Sub(s.now).Milliseconds())
 }
 
-// roomAt is when so many runs will have ended that a call behind so many others has a place.
-func (s *step) roomAt(ahead int) time.Time {
-	if !s.sorted {
-		sort.Float64s(s.ends)
-		s.sorted = true
+// placeAvailableAt returns when enough runs will have ended for a call with this many calls ahead of it.
+func (s *decisionState) placeAvailableAt(callsAhead int) time.Time {
+	if !s.runEndsSorted {
+		sort.Float64s(s.runEnds)
+		s.runEndsSorted = true
 	}
-	if ahead >= len(s.ends) {
-		return s.now.Add(millis(unknownRoomMillis * float64(2+ahead)))
+	if callsAhead >= len(s.runEnds) {
+		return s.now.Add(millis(unknownWaitMillis * float64(2+callsAhead)))
 	}
-	return s.now.Add(millis(s.ends[ahead]))
+	return s.now.Add(millis(s.runEnds[callsAhead]))
 }
 
-// invite chooses when a caller may come back.
+// scheduleRetry returns the retry time for a refused caller.
 //
-// Callers that are turned away together and come back together meet the same crowd. Their returns are spread over
-// the time that the engines need for so many runs, behind the callers that were invited before.
-func (b *Books) invite(st *step, w *waiter, room time.Time) time.Time {
-	kept := b.invited[:0]
-	for _, at := range b.invited {
+// Callers that are refused together and retry together would be refused again. Their retry times are spread over the
+// time that the engines need for so many runs, after the callers that were refused before.
+func (a *Books) scheduleRetry(st *decisionState, w *waitingCall, availableAt time.Time) time.Time {
+	kept := a.retryTimes[:0]
+	for _, at := range a.retryTimes {
 		if at.After(st.now) {
 			kept = append(kept, at)
 		}
 	}
-	b.invited = kept
-	at := st.now.Add(millis(float64(len(b.invited)+1) / b.pace(st)))
-	if at.Before(room) {
-		at = room
+	a.retryTimes = kept
+	at := st.now.Add(millis(float64(len(a.retryTimes)+1) / a.retryRate(st)))
+	if at.Before(availableAt) {
+		at = availableAt
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(w.ask.ID))
-	at = at.Add(time.Duration(h.Sum32()%spreadMillis) * time.Millisecond)
-	b.invited = append(b.invited, at)
+	_, _ = h.Write([]byte(w.request.ID))
+	at = at.Add(time.Duration(h.Sum32()%retrySpreadMillis) * time.Millisecond)
+	a.retryTimes = append(a.retryTimes, at)
 	return at
 }
 
-// pace is how many calls that come back the engines can take in a millisecond, beside the fresh ones.
-func (b *Books) pace(st *step) float64 {
-	if len(st.ends) == 0 {
-		return idlePace
+// retryRate returns how many retries the engines can serve beside new calls, in calls per millisecond.
+func (a *Books) retryRate(st *decisionState) float64 {
+	if len(st.runEnds) == 0 {
+		return idleRetryRate
 	}
 	total := 0.0
-	for _, end := range st.ends {
+	for _, end := range st.runEnds {
 		total += end
 	}
-	// A run that is seen at a random moment has half of its time left.
-	mean := 2 * total / float64(len(st.ends))
-	return math.Max(float64(len(st.ends))/math.Max(mean, 1)*(1-b.tuning.LateShare), leastPace)
+	// At a random time a run has half of its duration left on average.
+	mean := 2 * total / float64(len(st.runEnds))
+	return math.Max(float64(len(st.runEnds))/math.Max(mean, 1)*(1-a.tuning.LateMemoryShare), minRetryRate)
 }
--- a/internal/placement/twbooks/shortage.go
+++ b/internal/placement/twbooks/shortage.go
@@ -7,40 +7,46 @@
 )
 
 const (
-	// lastingSpan is how long calls must have found no engine of a role before engines change: a burst passes sooner than
-	// an engine changes, and takes from the other role what that needs a second later.
-	lastingSpan = 2 * time.Second
-	// pauseSpan is the longest pause between two such calls of one shortage.
-	pauseSpan = time.Second
-	// spareSpan is how long a role must have had no shortage before it gives an engine away: bursts come again.
-	spareSpan = 15 * time.Second
-	// spareFill is how much of the answering engines' memory may be taken when one of them is given away.
-	spareFill = 0.6
+	// minShortageSpan is how long calls must have found no engine of a role before an engine changes its role. A burst
+	// ends sooner than a role change, which would take an engine that the other role needs a second later.
+	minShortageSpan = 2 * time.Second
+	// maxShortageGap is the longest time between two such calls of one shortage.
+	maxShortageGap = time.Second
+	// minSurplusSpan is how long a role must have had no shortage before one of its engines may change its role, since
+	// bursts recur.
+	minSurplusSpan = 15 * time.Second
+	// maxSurplusFill is the share of the decode memory up to which a decode engine may change its role.
+	maxSurplusFill = 0.6
 )
 
-// shortage is when calls found no engine of one role in time.
-type shortage struct{ since, last time.Time }
+// shortage records when calls found no engine of one role in time.
+type shortage struct{ since, lastAt time.Time }
 
-func (s *shortage) seen(now time.Time) {
-	if now.Sub(s.last) > pauseSpan {
+func (s *shortage) record(now time.Time) {
+	if now.Sub(s.lastAt) > maxShortageGap {
 		s.since = now
 	}
-	s.last = now
+	s.lastAt = now
 }
 
-func (s *shortage) lasting(now time.Time) bool {
-	return now.Sub(s.last) < pauseSpan && s.last.Sub(s.since) >= lastingSpan
+// isLasting reports whether the shortage continues and has lasted for minShortageSpan.
+func (s *shortage) isLasting(now time.Time) bool {
+	return now.Sub(s.lastAt) < maxShortageGap && s.lastAt.Sub(s.since) >= minShortageSpan
 }
 
-func (s *shortage) over(now time.Time) bool { return now.Sub(s.last) > spareSpan }
+// hasEnded reports whether there was no shortage for minSurplusSpan.
+func (s *shortage) hasEnded(now time.Time) bool { return now.Sub(s.lastAt) > minSurplusSpan }
 
-// Need is what the calls ask of the engines.
-func (b *Books) Need(now time.Time) turmericwall.EngineNeed {
+// Need returns the shortage and surplus of each role and the mean cost of a call.
+func (a *Books) Need(now time.Time) turmericwall.EngineNeed {
 	need := turmericwall.EngineNeed{
-		Busy:      b.Busy(),
-		Readers:   turmericwall.RoleNeed{Short: b.readersShort.lasting(now), Spare: b.readersShort.over(now)},
-		Answerers: turmericwall.RoleNeed{Short: b.answerersShort.lasting(now), Spare: b.answerersShort.over(now) && b.begin(now).fill() < spareFill},
+		Busy:    a.Busy(),
+		Readers: turmericwall.RoleNeed{Short: a.prefillShortage.isLasting(now), Spare: a.prefillShortage.hasEnded(now)},
+		Answerers: turmericwall.RoleNeed{
+			Short: a.decodeShortage.isLasting(now),
+			Spare: a.decodeShortage.hasEnded(now) && a.newDecisionState(now).memoryFill() < maxSurplusFill,
+		},
 	}
-	need.Cost, need.Known = b.cost.Mean(b.bestSpeed)
+	need.Cost, need.Known = a.cost.Mean(a.bestPrefillSpeed)
 	return need
 }
--- a/internal/placement/twbooks/shortage_test.go
+++ b/internal/placement/twbooks/shortage_test.go
@@ -10,51 +10,52 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// overload asks for calls at forty a second from one engine that reads eight, over the span, and returns the moment after.
-func overload(w *world, span time.Duration) time.Time {
+// requestAbovePrefillRate requests forty placements per second for the span, from one prefill engine that can serve
+// eight, and returns the time after the last one.
+func requestAbovePrefillRate(sim *simulation, span time.Duration) time.Time {
 	at := start
 	for n := 0; at.Before(start.Add(span)); n++ {
-		w.step(at)
+		sim.advance(at)
 		id := fmt.Sprint("over", n)
-		prompts[id] = 5000
-		w.lengths[id] = 300
-		w.due[id] = at.Add(time.Second)
-		w.books.Ask(at, ask(id, at, 5000, 300))
-		w.decide()
+		promptTokens[id] = 5000
+		sim.answerTokens[id] = 300
+		sim.targetAt[id] = at.Add(time.Second)
+		sim.allocator.Enqueue(at, placeRequest(id, at, 5000, 300))
+		sim.decide()
 		at = at.Add(25 * time.Millisecond)
 	}
 	return at
 }
 
-// Engines that read are missing, and the others have room. An engine that changes is away for longer than a burst lasts,
-// so only a shortage that lasts for two seconds counts.
-func TestReadersAreShortOnlyWhenThatLasts(t *testing.T) {
+// Guards against role changes because of a burst: an engine that changes its role is unavailable for longer than a
+// burst lasts, so only a shortage of at least two seconds counts.
+func TestPrefillShortageMustLast(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(1, 9)
-	w.pauses = true
-	at := overload(w, 1500*time.Millisecond)
-	g.Expect(w.books.Need(at).Readers.Short).To(BeFalse(), "a burst")
-	w = newWorld(1, 9)
-	w.pauses = true
-	at = overload(w, 5*time.Second)
-	need := w.books.Need(at)
+	sim := newSimulation(1, 9)
+	sim.pausesStreams = true
+	at := requestAbovePrefillRate(sim, 1500*time.Millisecond)
+	g.Expect(sim.allocator.Need(at).Readers.Short).To(BeFalse(), "a burst")
+	sim = newSimulation(1, 9)
+	sim.pausesStreams = true
+	at = requestAbovePrefillRate(sim, 5*time.Second)
+	need := sim.allocator.Need(at)
 	g.Expect(need.Readers).To(Equal(turmericwall.RoleNeed{Short: true}))
 	g.Expect(need.Answerers).To(Equal(turmericwall.RoleNeed{Spare: true}))
 	g.Expect(need.Known).To(BeTrue())
-	g.Expect(w.books.Need(at.Add(16*time.Second)).Readers).To(Equal(turmericwall.RoleNeed{Spare: true}), "long over")
+	g.Expect(sim.allocator.Need(at.Add(16*time.Second)).Readers).To(
+		Equal(turmericwall.RoleNeed{Spare: true}), "the shortage has ended")
 }
 
-// The engines' memory is full at the peak, and prompts wait for it. None of those that answer can be spared, also shortly
-// after: bursts come again.
-func TestEnginesThatAnswerAreNotSpareAroundAPeak(t *testing.T) {
+// Guards against taking decode engines away while or shortly after their memory was full, since bursts recur.
+func TestDecodeEnginesAreNoSurplusAfterPeak(t *testing.T) {
 	g := NewWithT(t)
-	b := books(6, 1)
+	a := newAllocator(6, 1)
 	at := start
 	for i := range 60 {
-		b.Ask(at, ask(fmt.Sprint("peak", i), at, 8000, 4000))
-		b.Decide(at)
+		a.Enqueue(at, placeRequest(fmt.Sprint("peak", i), at, 8000, 4000))
+		a.Decide(at)
 		at = at.Add(50 * time.Millisecond)
 	}
-	g.Expect(b.Need(at).Answerers).To(Equal(turmericwall.RoleNeed{Short: true}))
-	g.Expect(b.Need(at.Add(10 * time.Second)).Answerers.Spare).To(BeFalse())
+	g.Expect(a.Need(at).Answerers).To(Equal(turmericwall.RoleNeed{Short: true}))
+	g.Expect(a.Need(at.Add(10 * time.Second)).Answerers.Spare).To(BeFalse())
 }
--- a/internal/placement/twbooks/speeds.go
+++ b/internal/placement/twbooks/speeds.go
@@ -7,108 +7,108 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// answered learns how fast answers grow, of all engines and of the one that had the call.
-func (b *Books) answered(end turmericwall.PlacementEnd) {
+// recordAnswer updates the decode speed of all engines and of the one that answered.
+func (a *Books) recordAnswer(end turmericwall.PlacementEnd) {
 	speed := float64(end.AnswerTokens) / float64(end.AnswerMillis)
-	b.answerSpeed = learn(b.answerSpeed, speed)
-	b.cost.Answered(float64(end.AnswerTokens), float64(end.AnswerMillis))
-	e, ok := b.engines[b.places[end.ID]]
+	a.decodeSpeed = movingAverage(a.decodeSpeed, speed)
+	a.cost.Answered(float64(end.AnswerTokens), float64(end.AnswerMillis))
+	e, ok := a.engines[a.engineByCall[end.ID]]
 	if !ok {
 		return
 	}
-	e.answerSpeed = learn(b.answerSpeedOf(e), speed)
+	e.decodeSpeed = movingAverage(a.decodeSpeedOf(e), speed)
 }
 
-// answerSpeedOf is how fast one answer grows on the engine, in tokens a millisecond. Engines of one service differ by a
-// third; with one speed for all, the slow ones ran out of memory three times as often as the others.
-func (b *Books) answerSpeedOf(e *engine) float64 {
-	if e.answerSpeed > 0 {
-		return e.answerSpeed
+// decodeSpeedOf returns the speed of one answer on the engine, in tokens per millisecond. Engines of one service differ
+// by a third; with one speed for all, the slow ones ran out of memory three times as often as the others.
+func (a *Books) decodeSpeedOf(e *engine) float64 {
+	if e.decodeSpeed > 0 {
+		return e.decodeSpeed
 	}
-	return b.answerSpeed
+	return a.decodeSpeed
 }
 
-// promptRead notes that the prompt is read and the answer begins.
-func (b *Books) promptRead(now time.Time, end turmericwall.PlacementEnd) {
-	at, ok := b.places[end.ID]
+// recordPrefill records that the prefill has ended and the answer begins.
+func (a *Books) recordPrefill(now time.Time, end turmericwall.PlacementEnd) {
+	engineID, ok := a.engineByCall[end.ID]
 	if !ok {
 		return
 	}
-	e := b.engines[at]
-	e.refusals = 0
+	e := a.engines[engineID]
+	e.fullRefusals = 0
 	r := e.runs[end.ID]
-	if !r.reading {
+	if !r.prefilling {
 		return
 	}
-	r.reading = false
-	r.firstAt = now
-	e.projected = nil
-	b.callers.answered(now, r.work, e)
-	if r.kept {
-		b.foundKept(now, r, end)
+	r.prefilling = false
+	r.firstTokenAt = now
+	e.memoryProjection = nil
+	a.callers.recordEngine(now, r.work, e)
+	if r.promptCached {
+		a.recordCacheOutcome(now, r, end)
 		return
 	}
-	reader, ok := b.engines[r.readBy]
+	prefillEngine, ok := a.engines[r.prefillEngineID]
 	if !ok {
 		return
 	}
-	b.ejections.Succeeded(now, r.readBy)
-	speed := b.speed(now, reader)
-	if !b.partial {
-		if reader.upstream.Role == turmericwall.RolePrefill && reader.readAt.After(r.placedAt) {
-			b.cost.Read(float64(r.work.PromptTokens), float64(now.Sub(reader.readAt).Milliseconds()))
+	a.ejections.Succeeded(now, r.prefillEngineID)
+	speed := a.prefillSpeedOf(now, prefillEngine)
+	if !a.partial {
+		if prefillEngine.upstream.Role == turmericwall.RolePrefill && prefillEngine.lastPrefillAt.After(r.placedAt) {
+			a.cost.Read(float64(r.work.PromptTokens), float64(now.Sub(prefillEngine.lastPrefillAt).Milliseconds()))
 		}
-		reader.finished(now, r, speed)
-		b.learnSpeed(now, reader)
+		prefillEngine.measurePrefill(now, r, speed)
+		a.updatePoolSpeed(now, prefillEngine)
 	}
 	left := 0.0
-	for _, other := range b.engines {
+	for _, other := range a.engines {
 		for _, o := range other.runs {
-			if o.reading && o.readBy == r.readBy {
+			if o.prefilling && o.prefillEngineID == r.prefillEngineID {
 				left += float64(o.work.PromptTokens)
 			}
 		}
 	}
-	reader.backlog = left
-	reader.backlogAt = now
+	prefillEngine.prefillBacklog = left
+	prefillEngine.prefillBacklogAt = now
 }
 
-// speed is how fast the engine reads prompts, in tokens a millisecond.
+// prefillSpeedOf returns the engine's prefill speed in tokens per millisecond.
 //
 // A speed that was measured while the engine was slow would keep calls away from it, and without calls it would never
-// be measured again. What is older than forgetSpan counts for nothing, and the best speed so far is assumed.
-func (b *Books) speed(now time.Time, e *engine) float64 {
-	if e.readSpeed > 0 && now.Sub(e.readAt) < forgetSpan {
-		return e.readSpeed
+// be measured again. Measurements older than speedValidity are therefore ignored and the best speed so far is assumed.
+func (a *Books) prefillSpeedOf(now time.Time, e *engine) float64 {
+	if e.prefillSpeed > 0 && now.Sub(e.lastPrefillAt) < speedValidity {
+		return e.prefillSpeed
 	}
 	if e.upstream.Role == turmericwall.RoleDecode {
-		return b.poolSpeed(now) / b.tuning.OwnReadSlowdown
+		return a.poolPrefillSpeed(now) / a.tuning.LocalPrefillSlowdown
 	}
-	return b.poolSpeed(now)
+	return a.poolPrefillSpeed(now)
 }
 
-// poolSpeed is how fast a prefill engine reads that was not measured lately.
-func (b *Books) poolSpeed(now time.Time) float64 {
-	if now.Sub(b.readAt) < forgetSpan {
-		return b.readSpeed
+// poolPrefillSpeed returns the speed of a prefill engine without a recent measurement, in tokens per millisecond.
+func (a *Books) poolPrefillSpeed(now time.Time) float64 {
+	if now.Sub(a.prefillSpeedAt) < speedValidity {
+		return a.prefillSpeed
 	}
-	return b.bestSpeed
+	return a.bestPrefillSpeed
 }
 
-// learnSpeed carries what was learned of one engine over to those that read nothing yet.
-func (b *Books) learnSpeed(now time.Time, e *engine) {
-	speed := e.readSpeed
+// updatePoolSpeed applies the speed measured at one engine to those without a measurement.
+func (a *Books) updatePoolSpeed(now time.Time, e *engine) {
+	speed := e.prefillSpeed
 	if speed <= 0 {
 		return
 	}
 	if e.upstream.Role == turmericwall.RoleDecode {
-		speed *= b.tuning.OwnReadSlowdown
+		speed *= a.tuning.LocalPrefillSlowdown
 	}
-	b.readSpeed = learn(b.poolSpeed(now), speed)
-	b.readAt = now
-	if !b.measured {
-		b.measured = true
-		b.bestSpeed = b.readSpeed
+	a.prefillSpeed = movingAverage(a.poolPrefillSpeed(now), speed)
+	a.prefillSpeedAt = now
+	if !a.prefillMeasured {
+		a.prefillMeasured = true
+		a.bestPrefillSpeed = a.prefillSpeed
 	}
-	b.bestSpeed = math.Max(b.bestSpeed, b.readSpeed)
+	a.bestPrefillSpeed = math.Max(a.bestPrefillSpeed, a.prefillSpeed)
 }
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -61,7 +61,7 @@
 
 type decision struct {
 	placement turmericwall.Placement
-	verdict   *twbooks.Verdict
+	verdict   *twbooks.Refusal
 }
 
 // New returns a coordinator without books; they are begun with the first call of a service.
@@ -139,7 +139,7 @@
 	defer c.mu.Unlock()
 	d := c.desk(end.Service)
 	c.refresh(now, end.Service, d)
-	d.books.News(now, end)
+	d.books.ApplyUpdate(now, end)
 	c.decide(now, end.Service, d)
 }
 
@@ -148,7 +148,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range c.services {
-		d.books.Forget(owner)
+		d.books.ReleaseOwner(owner)
 	}
 }
 
@@ -169,7 +169,7 @@
 	defer c.mu.Unlock()
 	d := c.desk(service)
 	c.refresh(now, service, d)
-	d.books.Keeps(now, engine, prompts)
+	d.books.RecordCachedPrompts(now, engine, prompts)
 }
 
 // Keep forgets the calls of all owners but one, when this daemon is no longer the leader.
@@ -177,7 +177,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range c.services {
-		d.books.ForgetOthers(owner)
+		d.books.ReleaseOtherOwners(owner)
 	}
 }
 
@@ -217,7 +217,7 @@
 	defer c.mu.Unlock()
 	d := c.desk(ask.Service)
 	d.waits[ask.ID] = answer
-	d.books.Ask(now, ask)
+	d.books.Enqueue(now, ask)
 	c.decide(now, ask.Service, d)
 	return answer
 }
@@ -275,15 +275,15 @@
 // refresh gives the books the newest plan and list of engines.
 func (c *Coordinator) refresh(now time.Time, service string, d *desk) {
 	if plan, ok := c.config.Service(service); ok && plan.Engine != nil {
-		d.books.Plan(*plan.Engine)
+		d.books.SetPlan(*plan.Engine)
 	}
 	keeping := c.config.Keeping()
 	if keeping && !c.kept {
 		c.learnedAt = now.Add(learnSpan)
 	}
 	c.kept = keeping
-	d.books.Partial(!keeping)
-	d.books.List(now, c.engines(now, service))
+	d.books.SetPartial(!keeping)
+	d.books.SetEngines(now, c.engines(now, service))
 }
 
 // engines lists the service's engines as the books see them: those that change their role have none for now, and those that
@@ -335,9 +335,9 @@
 	answer <- outcome
 }
 
-func problemOf(v *twbooks.Verdict) error {
+func problemOf(v *twbooks.Refusal) error {
 	if v == nil {
 		return nil
 	}
-	return turmericwall.Refused(turmericwall.Refusal{Attempt: v.ID, Reason: v.Reason, RetryAt: v.RetryAt, Never: v.Never})
+	return turmericwall.Refused(turmericwall.Refusal{Attempt: v.ID, Reason: v.Reason, RetryAt: v.RetryAt, Never: v.Permanent})
 }
