--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -1,4 +1,6 @@
-// Package twcoordinator runs the books of all services for the calls of one or many daemons.
+// Package twcoordinator places the model calls of all services: on the leader the calls of all daemons, on any other
+// daemon its own calls while no leader answers. It gives each service's allocator the time, the plan and the list of
+// engines, and passes its decisions to the waiting calls.
 package twcoordinator
 
 import (
@@ -11,16 +13,17 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
 )
 
-// Config says what a coordinator decides on.
+// Config holds the inputs of a coordinator.
 type Config struct {
+	// Tuning is passed to the allocator of each service.
 	Tuning twbooks.Tuning
 	// Upstreams returns the known upstreams of a service.
 	Upstreams func(service string) []turmericwall.Upstream
-	// Away tells that an engine is changing its role and takes no work.
+	// Away reports whether an engine is changing its role and takes no calls.
 	Away func(now time.Time, engine turmericwall.Upstream) bool
-	// Open tells that an engine takes a call now.
+	// Open reports whether an engine accepts calls now.
 	Open func(engine turmericwall.UpstreamKey) bool
-	// Keeping tells that this daemon places the calls of all.
+	// Keeping reports whether this daemon is the leader, which places the calls of all daemons.
 	Keeping func() bool
 	// Service returns the operator's plan of a service.
 	Service func(service string) (turmericwall.ServicePlan, bool)
@@ -28,316 +31,325 @@
 	Quotas turmericwall.QuotaMeter
 }
 
-// Coordinator gives the books their time, their input and a lock.
+// Coordinator places calls with one allocator per service. It is safe for concurrent use.
 type Coordinator struct {
 	config   Config
 	mu       sync.Mutex
-	services map[string]*desk
-	// charged are the placed calls that were taken from quotas.
-	charged map[string]charge
-	// kept tells that this daemon was the leader at the last look, and learnedAt when a new leader's books are whole.
-	kept      bool
-	learnedAt time.Time
+	services map[string]*serviceState
+	// charges are the units that were taken from quotas, by the id of the placed call.
+	charges map[string]charge
+	// wasLeader is set when this daemon was the leader at the last refresh. decideFrom is when a new leader begins to
+	// place calls.
+	wasLeader  bool
+	decideFrom time.Time
 }
 
-// desk is one service's books and those who wait for a decision.
-type desk struct {
-	books *twbooks.Books
-	waits map[string]chan decision
-	timer *time.Timer
-	// decidedAt is when the books last decided.
-	decidedAt time.Time
+// serviceState is one service's allocator and the calls that wait for a decision.
+type serviceState struct {
+	allocator *twbooks.Books
+	pending   map[string]chan decision
+	timer     *time.Timer
+	// lastDecisionAt is when the allocator last decided.
+	lastDecisionAt time.Time
 }
 
-// charge is what a placed call was taken for.
+// charge is what was taken from an account's quota for a placed call.
 type charge struct {
-	account string
-	units   float64
-	at      time.Time
+	account   string
+	units     float64
+	chargedAt time.Time
 }
 
-// chargeLimit is how long a charge can be given back.
-const chargeLimit = 30 * time.Second
+// refundWindow is how long a charge can be refunded.
+const refundWindow = 30 * time.Second
 
+// decision is the outcome for one call; refusal is nil when the call was placed.
 type decision struct {
 	placement turmericwall.Placement
-	verdict   *twbooks.Refusal
+	refusal   *twbooks.Refusal
 }
 
-// New returns a coordinator without books; they are begun with the first call of a service.
+// New returns a coordinator without allocators. A service's allocator is created with its first call.
 func New(config Config) *Coordinator {
-	return &Coordinator{config: config, services: make(map[string]*desk), charged: make(map[string]charge)}
+	return &Coordinator{config: config, services: make(map[string]*serviceState), charges: make(map[string]charge)}
 }
 
-// Place takes one call from its account's quota and waits for the decision on it.
-func (c *Coordinator) Place(ctx context.Context, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-	if err := c.charge(ask); err != nil {
+// Place charges the call to its account's quota and blocks until the call is placed or refused, or ctx ends. The error
+// is a *Problem. The units of a call that was not placed are refunded.
+func (c *Coordinator) Place(ctx context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+	if err := c.charge(request); err != nil {
 		return turmericwall.Placement{}, err
 	}
-	placement, err := c.await(ctx, ask)
-	if ask.Units > 0 {
-		c.settle(ask, err)
+	placement, err := c.awaitDecision(ctx, request)
+	if request.Units > 0 {
+		c.settleCharge(request, err)
 	}
 	return placement, err
 }
 
-// charge takes the call from its account's quota: of all daemons as the leader, else of this daemon's part, since no leader has
-// answered for the call.
-func (c *Coordinator) charge(ask turmericwall.PlaceAsk) error {
+// charge takes the call's units from its account's quota. Without a leader this daemon takes them from its own share.
+func (c *Coordinator) charge(request turmericwall.PlaceAsk) error {
 	switch {
-	case ask.Units <= 0:
+	case request.Units <= 0:
 		return nil
 	case c.config.Keeping():
-		return c.config.Quotas.Charge(ask.Account, ask.Units)
+		return c.config.Quotas.Charge(request.Account, request.Units)
 	default:
-		return c.config.Quotas.ChargeAlone(ask.Account, ask.Units)
+		return c.config.Quotas.ChargeAlone(request.Account, request.Units)
 	}
 }
 
-// settle gives the units of a refused call back, and remembers those of a placed one.
-func (c *Coordinator) settle(ask turmericwall.PlaceAsk, err error) {
+// settleCharge refunds the units of a call that was not placed, and records those of a placed one.
+func (c *Coordinator) settleCharge(request turmericwall.PlaceAsk, err error) {
 	if err != nil {
-		c.config.Quotas.Refund(ask.Account, ask.Units)
+		c.config.Quotas.Refund(request.Account, request.Units)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.charged[ask.ID] = charge{account: ask.Account, units: ask.Units, at: time.Now()}
+	c.charges[request.ID] = charge{account: request.Account, units: request.Units, chargedAt: time.Now()}
 }
 
-// refund gives the units of a placed call back when it did not run.
+// refund refunds the units of a placed call that no engine ran.
 func (c *Coordinator) refund(end turmericwall.PlacementEnd) {
 	if end.Running {
 		return
 	}
 	c.mu.Lock()
-	taken, ok := c.charged[end.ID]
-	delete(c.charged, end.ID)
+	entry, ok := c.charges[end.ID]
+	delete(c.charges, end.ID)
 	c.mu.Unlock()
 	if ok && end.NotRun {
-		c.config.Quotas.Refund(taken.account, taken.units)
+		c.config.Quotas.Refund(entry.account, entry.units)
 	}
 }
 
-func (c *Coordinator) await(ctx context.Context, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-	answer := c.ask(ask)
+func (c *Coordinator) awaitDecision(
+	ctx context.Context, request turmericwall.PlaceAsk,
+) (turmericwall.Placement, error) {
+	reply := c.enqueue(request)
 	select {
-	case d := <-answer:
-		return d.placement, problemOf(d.verdict)
+	case result := <-reply:
+		return result.placement, refusalProblem(result.refusal)
 	case <-ctx.Done():
-		c.withdraw(ask)
+		c.withdraw(request)
 		return turmericwall.Placement{}, turmericwall.NewProblem(turmericwall.KindCancelled,
-			"the caller left or its time is over", "call again")
+			"the caller disconnected or its deadline passed", "retry the call")
 	}
 }
 
-// Finish takes what happened to a placed call.
+// Finish applies a report on a placed call and makes the decisions that it allows.
 func (c *Coordinator) Finish(end turmericwall.PlacementEnd) {
 	c.refund(end)
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.desk(end.Service)
-	c.refresh(now, end.Service, d)
-	d.books.ApplyUpdate(now, end)
-	c.decide(now, end.Service, d)
+	s := c.service(end.Service)
+	c.refreshInputs(now, end.Service, s)
+	s.allocator.ApplyUpdate(now, end)
+	c.decide(now, end.Service, s)
 }
 
-// Lost takes back what an owner holds, because the daemon is gone.
+// Lost releases the calls of a daemon that has terminated.
 func (c *Coordinator) Lost(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, d := range c.services {
-		d.books.ReleaseOwner(owner)
+	for _, s := range c.services {
+		s.allocator.ReleaseOwner(owner)
 	}
 }
 
-// Adopt takes a call that another placed.
+// Adopt adds a call that was placed by another daemon.
 func (c *Coordinator) Adopt(run turmericwall.PlacedRun) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.desk(run.Ask.Service)
-	c.refresh(now, run.Ask.Service, d)
-	d.books.Adopt(now, run)
+	s := c.service(run.Ask.Service)
+	c.refreshInputs(now, run.Ask.Service, s)
+	s.allocator.Adopt(now, run)
 }
 
-// Keeps takes what an engine says that it keeps.
+// Keeps records the cached prompts that an engine reports.
 func (c *Coordinator) Keeps(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.desk(service)
-	c.refresh(now, service, d)
-	d.books.RecordCachedPrompts(now, engine, prompts)
+	s := c.service(service)
+	c.refreshInputs(now, service, s)
+	s.allocator.RecordCachedPrompts(now, engine, prompts)
 }
 
-// Keep forgets the calls of all owners but one, when this daemon is no longer the leader.
+// Keep releases the calls of all daemons but this one, when it is no longer the leader.
 func (c *Coordinator) Keep(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, d := range c.services {
-		d.books.ReleaseOtherOwners(owner)
+	for _, s := range c.services {
+		s.allocator.ReleaseOtherOwners(owner)
 	}
 }
 
-// Sweep forgets calls that must have ended long ago, because their end was never told.
+// Sweep releases calls that must have ended but whose end was not reported, and expires old charges.
 func (c *Coordinator) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, d := range c.services {
-		d.books.Sweep(now)
+	for _, s := range c.services {
+		s.allocator.Sweep(now)
 	}
-	for id, taken := range c.charged {
-		if now.Sub(taken.at) > chargeLimit {
-			delete(c.charged, id)
+	for id, entry := range c.charges {
+		if now.Sub(entry.chargedAt) > refundWindow {
+			delete(c.charges, id)
 		}
 	}
 }
 
-// Waiting is how many calls of the service wait.
+// Waiting returns the number of waiting calls of the service.
 func (c *Coordinator) Waiting(service string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.desk(service).books.Waiting()
+	return c.service(service).allocator.Waiting()
 }
 
-// Need is what the service's calls ask of the engines.
+// Need returns the shortage and surplus of engines of each role for the service's calls.
 func (c *Coordinator) Need(service string) turmericwall.EngineNeed {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.desk(service).books.Need(now)
+	return c.service(service).allocator.Need(now)
 }
 
-func (c *Coordinator) ask(ask turmericwall.PlaceAsk) <-chan decision {
+func (c *Coordinator) enqueue(request turmericwall.PlaceAsk) <-chan decision {
 	now := time.Now()
-	answer := make(chan decision, 1)
+	reply := make(chan decision, 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.desk(ask.Service)
-	d.waits[ask.ID] = answer
-	d.books.Enqueue(now, ask)
-	c.decide(now, ask.Service, d)
-	return answer
+	s := c.service(request.Service)
+	s.pending[request.ID] = reply
+	s.allocator.Enqueue(now, request)
+	c.decide(now, request.Service, s)
+	return reply
 }
 
-func (c *Coordinator) withdraw(ask turmericwall.PlaceAsk) {
+func (c *Coordinator) withdraw(request turmericwall.PlaceAsk) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.desk(ask.Service)
-	delete(d.waits, ask.ID)
-	d.books.Withdraw(ask.ID)
+	s := c.service(request.Service)
+	delete(s.pending, request.ID)
+	s.allocator.Withdraw(request.ID)
 }
 
-// decide lets the books decide and hands the outcomes to those who wait; the lock is held.
-func (c *Coordinator) decide(now time.Time, service string, d *desk) {
-	if d.books.Waiting() > crowd && now.Sub(d.decidedAt) < crowdPause {
-		c.later(crowdPause, service, d)
+// decide makes the decisions of one service and delivers them to the waiting calls; the lock is held.
+func (c *Coordinator) decide(now time.Time, service string, s *serviceState) {
+	if s.allocator.Waiting() > throttleThreshold && now.Sub(s.lastDecisionAt) < minDecisionInterval {
+		c.scheduleDecision(minDecisionInterval, service, s)
 		return
 	}
-	c.refresh(now, service, d)
-	if now.Before(c.learnedAt) {
-		c.later(c.learnedAt.Sub(now), service, d)
+	c.refreshInputs(now, service, s)
+	if now.Before(c.decideFrom) {
+		c.scheduleDecision(c.decideFrom.Sub(now), service, s)
 		return
 	}
-	d.decidedAt = now
-	outcome := d.books.Decide(now)
-	for _, p := range outcome.Placed {
-		d.tell(p.ID, decision{placement: p})
+	s.lastDecisionAt = now
+	decisions := s.allocator.Decide(now)
+	for _, p := range decisions.Placed {
+		s.deliver(p.ID, decision{placement: p})
 	}
-	for i := range outcome.Refused {
-		d.tell(outcome.Refused[i].ID, decision{verdict: &outcome.Refused[i]})
+	for i := range decisions.Refused {
+		s.deliver(decisions.Refused[i].ID, decision{refusal: &decisions.Refused[i]})
 	}
-	if !outcome.NextAt.IsZero() {
-		c.later(outcome.NextAt.Sub(now), service, d)
+	if !decisions.NextAt.IsZero() {
+		c.scheduleDecision(decisions.NextAt.Sub(now), service, s)
 	}
 }
 
-// later has the books decide again after the span, unless that is under way; the lock is held.
-func (c *Coordinator) later(span time.Duration, service string, d *desk) {
-	if d.timer == nil {
-		d.timer = time.AfterFunc(span, func() { c.tick(service) })
+// scheduleDecision schedules the next decision after the span, unless one is scheduled already; the lock is held.
+func (c *Coordinator) scheduleDecision(span time.Duration, service string, s *serviceState) {
+	if s.timer == nil {
+		s.timer = time.AfterFunc(span, func() { c.runScheduledDecision(service) })
 	}
 }
 
-// When more than crowd calls wait, the books decide once in crowdPause and not at each call and each end: each decision
-// weighs all that wait, and a leader with a fifth of a core had no processor left for its beats.
+// While more than throttleThreshold calls wait, decisions are made once per minDecisionInterval instead of at each call
+// and each end. A decision evaluates all waiting calls, and without this limit a leader with a fifth of a core had no
+// processor time left for its heartbeats.
 const (
-	crowd      = 12
-	crowdPause = 8 * time.Millisecond
+	throttleThreshold   = 12
+	minDecisionInterval = 8 * time.Millisecond
 )
 
-// learnSpan is how long a new leader waits before it decides: the others hear of it and tell it of their calls under way
-// within 150 ms. Before, it would fill engines that it takes for empty.
-const learnSpan = 200 * time.Millisecond
+// takeoverDelay is how long a new leader waits before it places calls. The other daemons notice the new leader and
+// report their placed calls within 150 ms; until then busy engines would look idle.
+const takeoverDelay = 200 * time.Millisecond
 
-// refresh gives the books the newest plan and list of engines.
-func (c *Coordinator) refresh(now time.Time, service string, d *desk) {
+// refreshInputs passes the current plan, leadership and list of engines to the allocator; the lock is held.
+func (c *Coordinator) refreshInputs(now time.Time, service string, s *serviceState) {
 	if plan, ok := c.config.Service(service); ok && plan.Engine != nil {
-		d.books.SetPlan(*plan.Engine)
+		s.allocator.SetPlan(*plan.Engine)
 	}
-	keeping := c.config.Keeping()
-	if keeping && !c.kept {
-		c.learnedAt = now.Add(learnSpan)
+	leading := c.config.Keeping()
+	if leading && !c.wasLeader {
+		c.decideFrom = now.Add(takeoverDelay)
 	}
-	c.kept = keeping
-	d.books.SetPartial(!keeping)
-	d.books.SetEngines(now, c.engines(now, service))
+	c.wasLeader = leading
+	s.allocator.SetPartial(!leading)
+	s.allocator.SetEngines(now, c.availableEngines(now, service))
 }
 
-// engines lists the service's engines as the books see them: those that change their role have none for now, and those that
-// take no call now get no new work.
-func (c *Coordinator) engines(now time.Time, service string) []turmericwall.Upstream {
+// availableEngines returns the service's engines for the allocator: those that change their role have no role, and
+// those that accept no calls now are marked as leaving.
+func (c *Coordinator) availableEngines(now time.Time, service string) []turmericwall.Upstream {
 	list := c.config.Upstreams(service)
 	copied := false
 	for i, u := range list {
-		away, open := c.config.Away(now, u), c.config.Open(u.Key())
-		if !away && open {
+		changing, accepting := c.config.Away(now, u), c.config.Open(u.Key())
+		if !changing && accepting {
 			continue
 		}
 		if !copied {
 			list = slices.Clone(list)
 			copied = true
 		}
-		if away {
+		if changing {
 			list[i].Role = ""
 		}
-		list[i].Leaving = u.Leaving || !open
+		list[i].Leaving = u.Leaving || !accepting
 	}
 	return list
 }
 
-func (c *Coordinator) tick(service string) {
+// runScheduledDecision makes the decisions that scheduleDecision has scheduled.
+func (c *Coordinator) runScheduledDecision(service string) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.desk(service)
-	d.timer = nil
-	c.decide(now, service, d)
+	s := c.service(service)
+	s.timer = nil
+	c.decide(now, service, s)
 }
 
-func (c *Coordinator) desk(service string) *desk {
-	d, ok := c.services[service]
+func (c *Coordinator) service(name string) *serviceState {
+	s, ok := c.services[name]
 	if !ok {
-		d = &desk{books: twbooks.New(c.config.Tuning), waits: make(map[string]chan decision)}
-		c.services[service] = d
+		s = &serviceState{allocator: twbooks.New(c.config.Tuning), pending: make(map[string]chan decision)}
+		c.services[name] = s
 	}
-	return d
+	return s
 }
 
-func (d *desk) tell(id string, outcome decision) {
-	answer, ok := d.waits[id]
+// deliver passes the decision to the call that waits for it, if it still does.
+func (s *serviceState) deliver(id string, result decision) {
+	reply, ok := s.pending[id]
 	if !ok {
 		return
 	}
-	delete(d.waits, id)
-	answer <- outcome
+	delete(s.pending, id)
+	reply <- result
 }
 
-func problemOf(v *twbooks.Refusal) error {
-	if v == nil {
+func refusalProblem(r *twbooks.Refusal) error {
+	if r == nil {
 		return nil
 	}
-	return turmericwall.Refused(turmericwall.Refusal{Attempt: v.ID, Reason: v.Reason, RetryAt: v.RetryAt, Never: v.Permanent})
+	return turmericwall.Refused(turmericwall.Refusal{
+		Attempt: r.ID, Reason: r.Reason, RetryAt: r.RetryAt, Never: r.Permanent,
+	})
 }
--- a/internal/placement/twcoordinator/coordinator_test.go
+++ b/internal/placement/twcoordinator/coordinator_test.go
@@ -14,7 +14,7 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twcoordinator"
 )
 
-func coordinator(keeping *atomic.Bool) *twcoordinator.Coordinator {
+func newCoordinator(leading *atomic.Bool) *twcoordinator.Coordinator {
 	list := []turmericwall.Upstream{
 		{ID: "d1", Slots: 16, Role: turmericwall.RoleDecode},
 		{ID: "d2", Slots: 16, Role: turmericwall.RoleDecode},
@@ -26,49 +26,49 @@
 			engine := turmericwall.EnginePlan{Slots: 16, MemoryTokens: 76_000, TokensPerEvent: 50, MaxReservationMillis: 2000}
 			return turmericwall.ServicePlan{Name: name, Engine: &engine}, true
 		},
-		Away: func(time.Time, turmericwall.Upstream) bool { return false }, Keeping: keeping.Load,
+		Away: func(time.Time, turmericwall.Upstream) bool { return false }, Keeping: leading.Load,
 		Open: func(turmericwall.UpstreamKey) bool { return true },
 	})
 }
 
-func ask(id string) turmericwall.PlaceAsk {
+func placeRequest(id string) turmericwall.PlaceAsk {
 	now := time.Now()
 	return turmericwall.PlaceAsk{
 		ID: id, Service: "s", Owner: "o", Work: turmericwall.ModelWork{PromptTokens: 5000, HintTokens: 3000, MaxTokens: 6500},
-		TargetDeadline: now.Add(2 * time.Second), GiveUpDeadline: now.Add(9 * time.Second), CallerDeadline: now.Add(9 * time.Second),
-		EventGapMillis: 300,
+		TargetDeadline: now.Add(2 * time.Second), GiveUpDeadline: now.Add(9 * time.Second),
+		CallerDeadline: now.Add(9 * time.Second), EventGapMillis: 300,
 	}
 }
 
-// A daemon becomes the leader while the engines are busy. Its first calls come before the others have told it of theirs.
-// Placed at once, they would go to an engine that only looks empty, and its memory would run out.
-func TestANewLeaderHearsOfTheOthersCallsBeforeItPlaces(t *testing.T) {
+// Guards against overfilled engines after a change of leader: a call that a new leader places before the other daemons
+// have reported their calls goes to an engine that only looks idle.
+func TestNewLeaderWaitsForReportedCallsBeforePlacing(t *testing.T) {
 	g := NewWithT(t)
-	var keeping atomic.Bool
-	c := coordinator(&keeping)
-	keeping.Store(true)
+	var leading atomic.Bool
+	c := newCoordinator(&leading)
+	leading.Store(true)
 	placed := make(chan turmericwall.Placement, 1)
 	go func() {
-		placement, err := c.Place(context.Background(), ask("mine"))
+		placement, err := c.Place(context.Background(), placeRequest("mine"))
 		if err == nil {
 			placed <- placement
 		}
 	}()
 	g.Eventually(func() int { return c.Waiting("s") }, time.Second, time.Millisecond).Should(Equal(1))
 	for i := range 6 {
-		c.Adopt(turmericwall.PlacedRun{Ask: ask(fmt.Sprint("theirs", i)), Engine: "d1"})
+		c.Adopt(turmericwall.PlacedRun{Ask: placeRequest(fmt.Sprint("theirs", i)), Engine: "d1"})
 	}
 	var placement turmericwall.Placement
 	g.Eventually(placed, 3*time.Second).Should(Receive(&placement))
 	g.Expect(placement.Decode.ID).To(Equal("d2"))
 }
 
-// A daemon without a leader decides alone, and there is nobody to wait for.
-func TestADaemonThatDecidesAlonePlacesAtOnce(t *testing.T) {
+// Guards against a delay on a daemon without a leader, which places its calls locally and has no reports to wait for.
+func TestDaemonWithoutLeaderPlacesAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	var keeping atomic.Bool
-	c := coordinator(&keeping)
-	placement, err := c.Place(context.Background(), ask("mine"))
+	var leading atomic.Bool
+	c := newCoordinator(&leading)
+	placement, err := c.Place(context.Background(), placeRequest("mine"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(placement.Prefill.ID).To(Equal("p1"))
 	c.Finish(turmericwall.PlacementEnd{ID: "mine", Service: "s"})
