--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -1,4 +1,6 @@
-// Package twdelegate asks the leader for places, and decides alone while there is none.
+// Package twdelegate places this daemon's model calls: it requests each placement from the leader and uses the
+// daemon's own coordinator while no leader answers. It also reports the ends of calls to the leader, and all placed calls to a
+// new one.
 package twdelegate
 
 import (
@@ -12,68 +14,77 @@
 )
 
 const (
-	// sendEvery is the pause between two messages about ended calls: the leader's books may lag by it.
-	sendEvery = 20 * time.Millisecond
-	// maxUnsent bounds the ends that wait for a leader; beyond it the leader's own sweep finds them.
-	maxUnsent = 4096
-	// watchEvery is the pause between two looks at whether the leader that was asked still lives.
-	watchEvery = 100 * time.Millisecond
+	// sendInterval is the time between two messages about ended calls. The leader may count an engine's memory as used
+	// for that much longer.
+	sendInterval = 20 * time.Millisecond
+	// maxPendingEnds limits the ends that are kept for an unreachable leader. The leader's sweep releases the calls of
+	// those beyond it.
+	maxPendingEnds = 4096
+	// leaderCheckInterval is the time between two checks whether the requested leader is still live.
+	leaderCheckInterval = 100 * time.Millisecond
 )
 
-// Config says what the delegate works with.
+// Config holds the dependencies of a delegate.
 type Config struct {
-	// Own are this daemon's own books: the leader's while it is the leader, and the fallback else.
+	// Own is this daemon's coordinator. It places the calls while this daemon is the leader or while there is none.
 	Own   *twcoordinator.Coordinator
 	Peers turmericwall.PeerClient
-	// Leader returns the live leader; self tells that it is this daemon.
+	// Leader returns the live leader; self is set when it is this daemon, ok when there is one.
 	Leader   func() (leader turmericwall.Member, self, ok bool)
 	Owner    string
 	Recorder turmericwall.Recorder
 }
 
-// Delegate is the daemon's placer.
+// Delegate is the EnginePlacer of a daemon. It is safe for concurrent use.
 type Delegate struct {
 	config Config
 	mu     sync.Mutex
-	// active are this daemon's placed calls, for a new leader.
-	active map[string]*placed
-	unsent []turmericwall.PlacementEnd
-	wake   chan struct{}
-	told   turmericwall.Member
+	// placedCalls are this daemon's placed calls by id, to be reported to a new leader.
+	placedCalls map[string]*placedCall
+	// pendingEnds are the reports on calls that have not been sent to the leader.
+	pendingEnds []turmericwall.PlacementEnd
+	wake        chan struct{}
+	// informedLeader is the leader that has received the placed calls.
+	informedLeader turmericwall.Member
 }
 
-type placed struct {
-	ask     turmericwall.PlaceAsk
+// placedCall is a call that has not ended yet.
+type placedCall struct {
+	request turmericwall.PlaceAsk
 	engine  string
-	readAt  time.Time
+	// prefillEndsAt is when the prefill is expected to end, and once it has ended, when that was.
+	prefillEndsAt time.Time
+	// started is set once the prefill has ended.
 	started bool
 }
 
-// New returns a delegate.
+// New returns a delegate. Run must be called for it to send reports.
 func New(config Config) *Delegate {
-	return &Delegate{config: config, active: make(map[string]*placed), wake: make(chan struct{}, 1)}
+	return &Delegate{config: config, placedCalls: make(map[string]*placedCall), wake: make(chan struct{}, 1)}
 }
 
-// Place asks the leader, or this daemon's own books while no leader answers.
-func (d *Delegate) Place(ctx context.Context, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+// Place requests the placement from the leader, and from this daemon's coordinator while no leader answers. A refusal
+// by the leader is final. The error is a *Problem.
+func (d *Delegate) Place(ctx context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
 	leader, self, ok := d.config.Leader()
 	if ok && !self {
-		placement, err := d.remote(ctx, leader, ask)
-		var refused *turmericwall.Problem
-		if err == nil || errors.As(err, &refused) {
+		placement, err := d.placeAtLeader(ctx, leader, request)
+		var problem *turmericwall.Problem
+		if err == nil || errors.As(err, &problem) {
 			return placement, err
 		}
 		if ctx.Err() != nil {
-			d.withdraw(ask)
+			d.withdraw(request)
 			return turmericwall.Placement{}, turmericwall.NewProblem(turmericwall.KindCancelled,
-				"the caller left or its time is over", "call again").WithCause(err)
+				"the caller disconnected or its deadline passed", "retry the call").WithCause(err)
 		}
-		d.withdraw(ask)
-		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).Str("request", ask.ID).Str("leader", leader.Name).Err(err).Send()
+		d.withdraw(request)
+		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
+			Str("request", request.ID).Str("leader", leader.Name).Err(err).Send()
 	}
-	placement, err := d.config.Own.Place(ctx, ask)
+	placement, err := d.config.Own.Place(ctx, request)
 	if err == nil {
-		d.remember(ask, placement)
+		d.recordPlaced(request, placement)
 		if !ok || !self {
 			placement.Reason += ", decided without the leader"
 		}
@@ -81,19 +92,19 @@
 	return placement, err
 }
 
-// Finish frees a place in the own books and tells the leader.
+// Finish applies a report on a placed call locally and queues it for the leader; it never blocks on the network.
 func (d *Delegate) Finish(end turmericwall.PlacementEnd) {
 	d.config.Own.Finish(end)
 	d.mu.Lock()
-	if run, ok := d.active[end.ID]; ok && end.Running && end.PromptRead {
+	if run, ok := d.placedCalls[end.ID]; ok && end.Running && end.PromptRead {
 		run.started = true
-		run.readAt = time.Now()
+		run.prefillEndsAt = time.Now()
 	}
 	if !end.Running {
-		delete(d.active, end.ID)
+		delete(d.placedCalls, end.ID)
 	}
-	if len(d.unsent) < maxUnsent {
-		d.unsent = append(d.unsent, end)
+	if len(d.pendingEnds) < maxPendingEnds {
+		d.pendingEnds = append(d.pendingEnds, end)
 	}
 	d.mu.Unlock()
 	select {
@@ -102,14 +113,15 @@
 	}
 }
 
-// Run tells the leader of ended calls, and a new leader of those under way, until ctx ends.
+// Run sends the queued reports to the leader, and the placed calls to a new one, until ctx ends. It returns the error
+// of ctx.
 func (d *Delegate) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-d.wake:
-		case <-time.After(watchEvery):
+		case <-time.After(leaderCheckInterval):
 		}
 		leader, self, ok := d.config.Leader()
 		if !ok {
@@ -117,41 +129,46 @@
 		}
 		if self {
 			d.mu.Lock()
-			d.unsent = nil
-			d.told = leader
+			d.pendingEnds = nil
+			d.informedLeader = leader
 			d.mu.Unlock()
 			continue
 		}
-		d.introduce(ctx, leader)
-		d.send(ctx, leader)
+		d.reportPlacedCalls(ctx, leader)
+		d.sendEnds(ctx, leader)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(sendEvery):
+		case <-time.After(sendInterval):
 		}
 	}
 }
 
-// remote asks the leader; the ask is given up as soon as the leader no longer lives.
-func (d *Delegate) remote(ctx context.Context, leader turmericwall.Member, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-	askCtx, cancel := context.WithCancel(ctx)
+// placeAtLeader requests the placement from the leader. The request is cancelled as soon as the leader is no longer
+// live.
+func (d *Delegate) placeAtLeader(
+	ctx context.Context, leader turmericwall.Member, request turmericwall.PlaceAsk,
+) (turmericwall.Placement, error) {
+	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := d.whileLive(leader, cancel)
+	stop := d.cancelWhenLeaderLost(leader, cancel)
 	defer stop()
-	placement, err := d.config.Peers.Place(askCtx, leader.Address, ask)
+	placement, err := d.config.Peers.Place(requestCtx, leader.Address, request)
 	if err != nil {
 		return placement, err
 	}
-	d.remember(ask, placement)
-	d.config.Own.Adopt(turmericwall.PlacedRun{Ask: ask, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.ReadDeadline).Milliseconds()})
+	d.recordPlaced(request, placement)
+	d.config.Own.Adopt(turmericwall.PlacedRun{
+		Ask: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.ReadDeadline).Milliseconds(),
+	})
 	return placement, nil
 }
 
-// whileLive calls cancel when the leader no longer lives; stop ends the watch.
-func (d *Delegate) whileLive(leader turmericwall.Member, cancel func()) (stop func()) {
+// cancelWhenLeaderLost calls cancel when the leader is no longer live; stop ends the checks.
+func (d *Delegate) cancelWhenLeaderLost(leader turmericwall.Member, cancel func()) (stop func()) {
 	done := make(chan struct{})
 	go func() {
-		tick := time.NewTicker(watchEvery)
+		tick := time.NewTicker(leaderCheckInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -168,55 +185,60 @@
 	return func() { close(done) }
 }
 
-func (d *Delegate) remember(ask turmericwall.PlaceAsk, placement turmericwall.Placement) {
+func (d *Delegate) recordPlaced(request turmericwall.PlaceAsk, placement turmericwall.Placement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.active[ask.ID] = &placed{ask: ask, engine: placement.Decode.ID, readAt: placement.ReadDeadline}
+	d.placedCalls[request.ID] = &placedCall{
+		request: request, engine: placement.Decode.ID, prefillEndsAt: placement.ReadDeadline,
+	}
 }
 
-// withdraw takes an ask back whose answer is unknown: the leader may have placed it.
-func (d *Delegate) withdraw(ask turmericwall.PlaceAsk) {
-	d.Finish(turmericwall.PlacementEnd{ID: ask.ID, Service: ask.Service})
+// withdraw reports the end of a call whose request got no answer, since the leader may have placed it.
+func (d *Delegate) withdraw(request turmericwall.PlaceAsk) {
+	d.Finish(turmericwall.PlacementEnd{ID: request.ID, Service: request.Service})
 }
 
-// introduce tells a new leader of this daemon's calls under way.
+// reportPlacedCalls sends this daemon's placed calls to a new leader once.
 //
-// A new leader's books are empty: it would place as many calls again on engines that are full already.
-func (d *Delegate) introduce(ctx context.Context, leader turmericwall.Member) {
+// A new leader knows of no calls and would place new ones on engines that are full already.
+func (d *Delegate) reportPlacedCalls(ctx context.Context, leader turmericwall.Member) {
 	d.mu.Lock()
-	if d.told == leader {
+	if d.informedLeader == leader {
 		d.mu.Unlock()
 		return
 	}
-	runs := make([]turmericwall.PlacedRun, 0, len(d.active))
-	for _, run := range d.active {
+	runs := make([]turmericwall.PlacedRun, 0, len(d.placedCalls))
+	for _, run := range d.placedCalls {
 		runs = append(runs, turmericwall.PlacedRun{
-			Ask: run.ask, Engine: run.engine, AgeMillis: time.Since(run.readAt).Milliseconds(),
+			Ask: run.request, Engine: run.engine, AgeMillis: time.Since(run.prefillEndsAt).Milliseconds(),
 		})
 	}
 	d.mu.Unlock()
 	if err := d.config.Peers.Runs(ctx, leader.Address, runs); err != nil {
-		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).Str("leader", leader.Name).Int("runs", int64(len(runs))).Err(err).Send()
+		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
+			Str("leader", leader.Name).Int("runs", int64(len(runs))).Err(err).Send()
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told = leader
+	d.informedLeader = leader
 }
 
-func (d *Delegate) send(ctx context.Context, leader turmericwall.Member) {
+// sendEnds sends the queued reports to the leader and queues them again when that fails.
+func (d *Delegate) sendEnds(ctx context.Context, leader turmericwall.Member) {
 	d.mu.Lock()
-	ends := d.unsent
-	d.unsent = nil
+	ends := d.pendingEnds
+	d.pendingEnds = nil
 	d.mu.Unlock()
 	if len(ends) == 0 {
 		return
 	}
 	if err := d.config.Peers.Finish(ctx, leader.Address, ends); err != nil {
-		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).Str("leader", leader.Name).Int("ends", int64(len(ends))).Err(err).Send()
+		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
+			Str("leader", leader.Name).Int("ends", int64(len(ends))).Err(err).Send()
 		d.mu.Lock()
-		if len(d.unsent)+len(ends) < maxUnsent {
-			d.unsent = append(ends, d.unsent...)
+		if len(d.pendingEnds)+len(ends) < maxPendingEnds {
+			d.pendingEnds = append(ends, d.pendingEnds...)
 		}
 		d.mu.Unlock()
 	}
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -17,89 +17,92 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twdelegate"
 )
 
-// leader plays the leader's side of the calls between daemons.
-type leader struct {
+// fakeLeader is the leader's side of the calls between daemons.
+type fakeLeader struct {
 	turmericwall.PeerClient
-	mu    sync.Mutex
-	place func(ctx context.Context) (turmericwall.Placement, error)
-	ended []turmericwall.PlacementEnd
-	runs  []turmericwall.PlacedRun
-	told  int
-	fails bool
+	mu      sync.Mutex
+	place   func(ctx context.Context) (turmericwall.Placement, error)
+	ended   []turmericwall.PlacementEnd
+	runs    []turmericwall.PlacedRun
+	reports int
+	failing bool
 }
 
-func (k *leader) Place(ctx context.Context, _ string, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-	p, err := k.place(ctx)
-	p.ID = ask.ID
+func (l *fakeLeader) Place(ctx context.Context, _ string, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+	p, err := l.place(ctx)
+	p.ID = request.ID
 	return p, err
 }
 
-func (k *leader) Finish(_ context.Context, _ string, ends []turmericwall.PlacementEnd) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.fails {
-		return errors.New("no path")
+func (l *fakeLeader) Finish(_ context.Context, _ string, ends []turmericwall.PlacementEnd) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.failing {
+		return errors.New("leader unreachable")
 	}
-	k.ended = append(k.ended, ends...)
+	l.ended = append(l.ended, ends...)
 	return nil
 }
 
-func (k *leader) Admit(context.Context, string, turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+func (l *fakeLeader) Admit(context.Context, string, turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
 	return turmericwall.AdmitReply{}, nil
 }
 
-func (k *leader) Runs(_ context.Context, _ string, runs []turmericwall.PlacedRun) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.told++
-	k.runs = runs
+func (l *fakeLeader) Runs(_ context.Context, _ string, runs []turmericwall.PlacedRun) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.reports++
+	l.runs = runs
 	return nil
 }
 
-// oldest is the age of the oldest run that it was told of, in milliseconds.
-func (k *leader) oldest() int64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// oldestMillis returns the age of the oldest run that was reported, in milliseconds.
+func (l *fakeLeader) oldestMillis() int64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	oldest := int64(0)
-	for _, run := range k.runs {
+	for _, run := range l.runs {
 		oldest = max(oldest, run.AgeMillis)
 	}
 	return oldest
 }
 
-func (k *leader) heard() (ended, runs, told int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.ended), len(k.runs), k.told
+func (l *fakeLeader) counts() (ended, runs, reports int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.ended), len(l.runs), l.reports
 }
 
-type site struct {
+type fixture struct {
 	delegate *twdelegate.Delegate
-	leader   *leader
+	leader   *fakeLeader
 	mu       sync.Mutex
 	current  turmericwall.Member
 	live     bool
 }
 
-func (s *site) set(name string, live bool) {
+func (s *fixture) setLeader(name string, live bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.current, s.live = turmericwall.Member{Name: name, Address: name, Incarnation: name}, live
 }
 
-func newSite(t *testing.T) *site {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	s := &site{leader: &leader{}}
-	s.set("k", true)
+	s := &fixture{leader: &fakeLeader{}}
+	s.setLeader("k", true)
 	engines := []turmericwall.Upstream{
-		{ID: "p", Service: "s", Slots: 4, Role: turmericwall.RolePrefill}, {ID: "d", Service: "s", Slots: 4, Role: turmericwall.RoleDecode},
+		{ID: "p", Service: "s", Slots: 4, Role: turmericwall.RolePrefill},
+		{ID: "d", Service: "s", Slots: 4, Role: turmericwall.RoleDecode},
 	}
 	own := twcoordinator.New(twcoordinator.Config{
 		Open:      func(turmericwall.UpstreamKey) bool { return true },
 		Tuning:    twbooks.DefaultTuning(),
 		Upstreams: func(string) []turmericwall.Upstream { return engines },
 		Service: func(string) (turmericwall.ServicePlan, bool) {
-			return turmericwall.ServicePlan{Engine: &turmericwall.EnginePlan{Slots: 4, MemoryTokens: 50_000, TokensPerEvent: 50}}, true
+			return turmericwall.ServicePlan{
+				Engine: &turmericwall.EnginePlan{Slots: 4, MemoryTokens: 50_000, TokensPerEvent: 50},
+			}, true
 		},
 		Keeping: func() bool { return false },
 		Away:    func(time.Time, turmericwall.Upstream) bool { return false },
@@ -119,69 +122,71 @@
 	return s
 }
 
-func ask(id string) turmericwall.PlaceAsk {
+func placeRequest(id string) turmericwall.PlaceAsk {
 	now := time.Now()
 	return turmericwall.PlaceAsk{
-		ID: id, Service: "s", Owner: "me", Work: turmericwall.ModelWork{PromptTokens: 2000, HintTokens: 500, MaxTokens: 1000},
-		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(5 * time.Second), CallerDeadline: now.Add(5 * time.Second),
+		ID: id, Service: "s", Owner: "me",
+		Work:           turmericwall.ModelWork{PromptTokens: 2000, HintTokens: 500, MaxTokens: 1000},
+		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(5 * time.Second),
+		CallerDeadline: now.Add(5 * time.Second),
 	}
 }
 
-func TestTheLeaderDecidesAndIsToldOfTheEnd(t *testing.T) {
+func TestLeaderPlacesCallAndReceivesItsEnd(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t)
+	s := newFixture(t)
 	s.leader.place = func(context.Context) (turmericwall.Placement, error) {
 		return turmericwall.Placement{Decode: turmericwall.Upstream{ID: "d"}, Reason: "leader"}, nil
 	}
-	p, err := s.delegate.Place(context.Background(), ask("1/0"))
+	p, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(p.Reason).To(Equal("leader"))
 	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s"})
-	g.Eventually(func() int { ended, _, _ := s.leader.heard(); return ended }).Should(Equal(1))
+	g.Eventually(func() int { ended, _, _ := s.leader.counts(); return ended }).Should(Equal(1))
 }
 
-func TestTheLeadersRefusalCounts(t *testing.T) {
+func TestLeaderRefusalIsFinal(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t)
+	s := newFixture(t)
 	s.leader.place = func(context.Context) (turmericwall.Placement, error) {
 		return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{Reason: "full"})
 	}
-	_, err := s.delegate.Place(context.Background(), ask("1/0"))
+	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(turmericwall.IsKind(err, turmericwall.KindOverloaded)).To(BeTrue())
 }
 
-// A stream paused too long, and its daemon tells so while it goes on. A new leader must still hear how old the run is:
-// counted from the pause on, its memory would be expected back seconds late.
-func TestAPauseDoesNotMakeARunYoung(t *testing.T) {
+// Guards against a run whose age is counted from its last pause instead of its first token: a new leader would expect
+// its memory to be free seconds late.
+func TestPauseReportKeepsAgeOfRun(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t)
+	s := newFixture(t)
 	s.leader.place = func(context.Context) (turmericwall.Placement, error) {
 		return turmericwall.Placement{Decode: turmericwall.Upstream{ID: "d"}, ReadDeadline: time.Now()}, nil
 	}
-	_, err := s.delegate.Place(context.Background(), ask("1/0"))
+	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
 	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, PromptRead: true})
 	time.Sleep(300 * time.Millisecond)
 	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, Paused: true})
-	s.set("next", true)
-	g.Eventually(s.leader.oldest, "2s").Should(BeNumerically(">=", 300))
+	s.setLeader("next", true)
+	g.Eventually(s.leader.oldestMillis, "2s").Should(BeNumerically(">=", 300))
 }
 
-// The leader is gone, or freezes with the ask in its hands. The caller can't wait for the next leader; the daemon decides
-// on its own books, and the engines' reservations keep two deciders from overfilling an engine.
-func TestADaemonDecidesAloneWhileNoLeaderAnswers(t *testing.T) {
+// Guards against callers that wait for the next leader when the leader is unreachable, or suspended with the request.
+// The daemon places the call with its own coordinator; reservations keep two daemons from overfilling an engine.
+func TestDaemonPlacesLocallyWhileLeaderIsUnresponsive(t *testing.T) {
 	cases := []struct {
 		name  string
-		place func(s *site) func(context.Context) (turmericwall.Placement, error)
+		place func(s *fixture) func(context.Context) (turmericwall.Placement, error)
 	}{
-		{"unreachable", func(*site) func(context.Context) (turmericwall.Placement, error) {
+		{"unreachable", func(*fixture) func(context.Context) (turmericwall.Placement, error) {
 			return func(context.Context) (turmericwall.Placement, error) {
 				return turmericwall.Placement{}, errors.New("connection refused")
 			}
 		}},
-		{"frozen", func(s *site) func(context.Context) (turmericwall.Placement, error) {
+		{"suspended", func(s *fixture) func(context.Context) (turmericwall.Placement, error) {
 			return func(ctx context.Context) (turmericwall.Placement, error) {
-				time.AfterFunc(50*time.Millisecond, func() { s.set("k", false) })
+				time.AfterFunc(50*time.Millisecond, func() { s.setLeader("k", false) })
 				<-ctx.Done()
 				return turmericwall.Placement{}, ctx.Err()
 			}
@@ -190,55 +195,56 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := newSite(t)
+			s := newFixture(t)
 			s.leader.place = c.place(s)
-			began := time.Now()
-			p, err := s.delegate.Place(context.Background(), ask("1/0"))
+			startedAt := time.Now()
+			p, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(p.Decode.ID).To(Equal("d"))
 			g.Expect(p.Reason).To(ContainSubstring("without the leader"))
-			g.Expect(time.Since(began)).To(BeNumerically("<", 500*time.Millisecond))
+			g.Expect(time.Since(startedAt)).To(BeNumerically("<", 500*time.Millisecond))
 		})
 	}
 }
 
-// A new leader's books are empty. Told of no calls under way, it would place as many again on engines that are full.
-func TestANewLeaderIsToldOfTheCallsUnderWay(t *testing.T) {
+// Guards against a new leader that places calls on full engines because it knows of no calls.
+func TestNewLeaderReceivesPlacedCallsOnce(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t)
-	s.set("k", false)
-	_, err := s.delegate.Place(context.Background(), ask("1/0"))
+	s := newFixture(t)
+	s.setLeader("k", false)
+	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
-	s.set("next", true)
-	g.Eventually(func() int { _, runs, _ := s.leader.heard(); return runs }).Should(Equal(1))
+	s.setLeader("next", true)
+	g.Eventually(func() int { _, runs, _ := s.leader.counts(); return runs }).Should(Equal(1))
 	g.Expect(s.leader.runs[0].Engine).To(Equal("d"))
-	g.Consistently(func() int { _, _, told := s.leader.heard(); return told }, 300*time.Millisecond).Should(Equal(1))
+	g.Consistently(func() int { _, _, reports := s.leader.counts(); return reports }, 300*time.Millisecond).Should(Equal(1))
 }
 
-func TestEndsWaitForAPathToTheLeader(t *testing.T) {
+func TestEndsAreResentUntilLeaderIsReachable(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t)
+	s := newFixture(t)
 	s.leader.mu.Lock()
-	s.leader.fails = true
+	s.leader.failing = true
 	s.leader.mu.Unlock()
 	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s"})
-	g.Consistently(func() int { ended, _, _ := s.leader.heard(); return ended }, 150*time.Millisecond).Should(BeZero())
+	g.Consistently(func() int { ended, _, _ := s.leader.counts(); return ended }, 150*time.Millisecond).Should(BeZero())
 	s.leader.mu.Lock()
-	s.leader.fails = false
+	s.leader.failing = false
 	s.leader.mu.Unlock()
-	g.Eventually(func() int { ended, _, _ := s.leader.heard(); return ended }).Should(Equal(1))
+	g.Eventually(func() int { ended, _, _ := s.leader.counts(); return ended }).Should(Equal(1))
 }
 
-func TestACallersLeavingEndsTheAsk(t *testing.T) {
+func TestCancelledCallIsWithdrawnFromLeader(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t)
+	s := newFixture(t)
 	s.leader.place = func(ctx context.Context) (turmericwall.Placement, error) {
 		<-ctx.Done()
 		return turmericwall.Placement{}, ctx.Err()
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	time.AfterFunc(30*time.Millisecond, leave)
-	_, err := s.delegate.Place(ctx, ask("1/0"))
+	_, err := s.delegate.Place(ctx, placeRequest("1/0"))
 	g.Expect(turmericwall.IsKind(err, turmericwall.KindCancelled)).To(BeTrue())
-	g.Eventually(func() int { ended, _, _ := s.leader.heard(); return ended }).Should(Equal(1), "the leader may have placed it")
+	g.Eventually(func() int { ended, _, _ := s.leader.counts(); return ended }).
+		Should(Equal(1), "the leader may have placed it")
 }
