--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -259,10 +259,10 @@
 		e.backoffUntil = now.Add(millis(a.tuning.SuspectBackoffMillis))
 	}
 	if _, ok := a.engines[end.Failed]; ok {
-		a.ejections.Failed(now, end.Failed)
+		a.ejections.RecordFailure(now, end.Failed)
 	}
 	if at, ok := a.engineByCall[end.ID]; ok && end.AnswerTokens > 0 && end.Failed == "" {
-		a.ejections.Succeeded(now, at)
+		a.ejections.RecordSuccess(now, at)
 	}
 	if end.AnswerMillis > minMeasuredMillis && end.AnswerTokens > 0 {
 		a.recordAnswer(end)
@@ -307,7 +307,7 @@
 	for callID := range e.runs {
 		delete(a.engineByCall, callID)
 	}
-	a.ejections.Forget(id)
+	a.ejections.Remove(id)
 	delete(a.engines, id)
 }
 
--- a/internal/placement/twbooks/decide.go
+++ b/internal/placement/twbooks/decide.go
@@ -98,7 +98,7 @@
 func (a *Books) markEjected(now time.Time, engines []*engine) {
 	left := int(maxEjectedShare * float64(len(engines)))
 	for _, e := range engines {
-		e.ejected = left > 0 && a.ejections.Out(now, e.upstream.ID)
+		e.ejected = left > 0 && a.ejections.IsEjected(now, e.upstream.ID)
 		if e.ejected {
 			left--
 		}
@@ -108,8 +108,8 @@
 // recordPlacement records that a call was placed on the engines: an ejected engine gets one trial call at a time.
 func (a *Books) recordPlacement(now time.Time, engines ...*engine) {
 	for _, e := range engines {
-		a.ejections.Tried(now, e.upstream.ID)
-		e.ejected = e.ejected || a.ejections.Out(now, e.upstream.ID)
+		a.ejections.RecordTrial(now, e.upstream.ID)
+		e.ejected = e.ejected || a.ejections.IsEjected(now, e.upstream.ID)
 	}
 }
 
--- a/internal/placement/twbooks/speeds.go
+++ b/internal/placement/twbooks/speeds.go
@@ -52,7 +52,7 @@
 	if !ok {
 		return
 	}
-	a.ejections.Succeeded(now, r.prefillEngineID)
+	a.ejections.RecordSuccess(now, r.prefillEngineID)
 	speed := a.prefillSpeedOf(now, prefillEngine)
 	if !a.partial {
 		if prefillEngine.upstream.Role == turmericwall.RolePrefill && prefillEngine.lastPrefillAt.After(r.placedAt) {
--- a/internal/placement/twejection/ejections.go
+++ b/internal/placement/twejection/ejections.go
@@ -1,83 +1,86 @@
-// Package twejection decides which engines get no work because calls failed there. It has no clock.
+// Package twejection decides which engines get no calls because calls failed there. The placement allocator consults it
+// for each engine before it places a call.
 package twejection
 
 import "time"
 
 const (
-	// firstSpan is how long an engine is out after a failure; it doubles up to maxSpan with each further one.
-	firstSpan = 500 * time.Millisecond
-	maxSpan   = 4 * time.Second
-	// trialSpan is how long one call may take to show that the engine works again.
-	trialSpan = time.Second
-	// rememberSpan is how long a failure counts towards the next ejection.
-	rememberSpan = 10 * time.Second
+	// initialEjection is how long an engine is ejected after a failure; it doubles up to maxEjection with each further
+	// one.
+	initialEjection = 500 * time.Millisecond
+	maxEjection     = 4 * time.Second
+	// trialTimeout is how long a trial call may take before the engine gets another one.
+	trialTimeout = time.Second
+	// failureValidity is how long a failure counts towards the next ejection.
+	failureValidity = 10 * time.Second
 )
 
-// Ejections remember the failures of engines by their id.
+// Ejections record the failures of engines by their id. They have no clock of their own and are not safe for concurrent
+// use.
 //
-// An engine that fails its calls at once looks empty, and gets the more calls the more it fails. One failure ejects it
-// for all; then one call at a time tries it, until one succeeds.
+// An engine that fails its calls at once always looks idle, and would get the more calls the more it fails. One failure
+// therefore ejects it; afterwards it gets one trial call at a time until one succeeds.
 type Ejections struct{ records map[string]*record }
 
 type record struct {
-	failures int
-	failedAt time.Time
-	// until is when the engine may be tried, and triedAt when it last was.
-	until, triedAt time.Time
-	// proven tells that a call succeeded since.
-	proven bool
+	failures      int
+	lastFailureAt time.Time
+	// ejectedUntil is when the first trial call may be placed, lastTrialAt when the last one was.
+	ejectedUntil, lastTrialAt time.Time
+	// recovered is set when a call has succeeded since the last failure.
+	recovered bool
 }
 
-// New returns ejections of no engine.
+// New returns ejections without failures.
 func New() *Ejections { return &Ejections{records: make(map[string]*record)} }
 
-// Failed takes a failure. Failures of calls that were under way when the engine was ejected change nothing.
-func (e *Ejections) Failed(now time.Time, id string) {
+// RecordFailure records a failed call. It is ignored while the engine is ejected, since the call was placed before.
+func (e *Ejections) RecordFailure(now time.Time, id string) {
 	r, ok := e.records[id]
 	if !ok {
 		r = &record{}
 		e.records[id] = r
 	}
-	if now.Before(r.until) {
+	if now.Before(r.ejectedUntil) {
 		return
 	}
-	if now.Sub(r.failedAt) > rememberSpan {
+	if now.Sub(r.lastFailureAt) > failureValidity {
 		r.failures = 0
 	}
 	r.failures++
-	r.failedAt = now
-	r.proven = false
-	r.until = now.Add(min(firstSpan<<min(r.failures-1, 8), maxSpan))
-	r.triedAt = time.Time{}
+	r.lastFailureAt = now
+	r.recovered = false
+	r.ejectedUntil = now.Add(min(initialEjection<<min(r.failures-1, 8), maxEjection))
+	r.lastTrialAt = time.Time{}
 }
 
-// Succeeded takes a success. One of a call that was under way when the engine was ejected changes nothing.
-func (e *Ejections) Succeeded(now time.Time, id string) {
+// RecordSuccess records a successful call. It is ignored while the engine is ejected, since the call was placed before.
+func (e *Ejections) RecordSuccess(now time.Time, id string) {
 	r, ok := e.records[id]
-	if !ok || now.Before(r.until) {
+	if !ok || now.Before(r.ejectedUntil) {
 		return
 	}
-	r.proven = true
-	if now.Sub(r.failedAt) > rememberSpan {
+	r.recovered = true
+	if now.Sub(r.lastFailureAt) > failureValidity {
 		delete(e.records, id)
 	}
 }
 
-// Tried tells that a call was placed on the engine.
-func (e *Ejections) Tried(now time.Time, id string) {
-	if r, ok := e.records[id]; ok && !r.proven {
-		r.triedAt = now
+// RecordTrial records that a call was placed on the engine.
+func (e *Ejections) RecordTrial(now time.Time, id string) {
+	if r, ok := e.records[id]; ok && !r.recovered {
+		r.lastTrialAt = now
 	}
 }
 
-// Out tells that the engine gets no further call now.
-func (e *Ejections) Out(now time.Time, id string) bool {
+// IsEjected reports whether the engine gets no further call now, because it is ejected or a trial call is under way.
+func (e *Ejections) IsEjected(now time.Time, id string) bool {
 	r, ok := e.records[id]
-	if !ok || r.proven {
+	if !ok || r.recovered {
 		return false
 	}
-	return now.Before(r.until) || now.Before(r.triedAt.Add(trialSpan))
+	return now.Before(r.ejectedUntil) || now.Before(r.lastTrialAt.Add(trialTimeout))
 }
 
-// Forget drops an engine that is gone.
-func (e *Ejections) Forget(id string) { delete(e.records, id) }
+// Remove removes an engine that is no longer listed.
+func (e *Ejections) Remove(id string) { delete(e.records, id) }
