--- a/internal/placement/twaway/away.go
+++ b/internal/placement/twaway/away.go
@@ -1,4 +1,5 @@
-// Package twaway knows which engines are away because they change their role.
+// Package twaway tracks the engines that are changing their role, so that no call is placed on them. The daemon that
+// orders a role change reports it to its peers with its heartbeats.
 package twaway
 
 import (
@@ -8,61 +9,62 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Away are the engines that accepted an order and don't show their new role yet.
+// Away are the engines that accepted a role change and don't report their new role yet. It is safe for concurrent use.
 //
-// They refuse all calls meanwhile. The daemon that ordered tells the others: one that takes its place as leader, or that
-// decides alone, would else place each call on them first, since they look empty.
+// These engines refuse all calls. Without the report, a peer that becomes the leader or places calls locally would
+// place every call on them first, since they look idle.
 type Away struct {
 	mu      sync.Mutex
 	engines map[string]change
 }
 
 type change struct {
-	role  turmericwall.Role
-	until time.Time
+	role     turmericwall.Role
+	deadline time.Time
 }
 
 // New returns an Away without engines.
 func New() *Away { return &Away{engines: make(map[string]change)} }
 
-// Note takes an engine that accepted an order; by the time until its change is surely over.
-func (a *Away) Note(id string, role turmericwall.Role, until time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.engines[id] = change{role: role, until: until}
+// Note adds an engine that accepted a change to the role. The change is discarded after the deadline, even if the
+// engine never reports the role.
+func (r *Away) Note(id string, role turmericwall.Role, deadline time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.engines[id] = change{role: role, deadline: deadline}
 }
 
-// Is tells that the engine, as it shows itself now, is away.
-func (a *Away) Is(now time.Time, engine turmericwall.Upstream) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	c, ok := a.engines[engine.ID]
+// Is reports whether the engine, with the role that it reports now, is changing its role.
+func (r *Away) Is(now time.Time, engine turmericwall.Upstream) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c, ok := r.engines[engine.ID]
 	if !ok {
 		return false
 	}
-	if now.After(c.until) || engine.Role == c.role {
-		delete(a.engines, engine.ID)
+	if now.After(c.deadline) || engine.Role == c.role {
+		delete(r.engines, engine.ID)
 		return false
 	}
 	return true
 }
 
-// List is what other daemons are told.
-func (a *Away) List(now time.Time) []turmericwall.ChangingEngine {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// List returns the role changes to report to peers, with the time left for each.
+func (r *Away) List(now time.Time) []turmericwall.ChangingEngine {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var list []turmericwall.ChangingEngine
-	for id, c := range a.engines {
-		if left := c.until.Sub(now).Milliseconds(); left > 0 {
+	for id, c := range r.engines {
+		if left := c.deadline.Sub(now).Milliseconds(); left > 0 {
 			list = append(list, turmericwall.ChangingEngine{ID: id, Role: c.role, LeftMillis: left})
 		}
 	}
 	return list
 }
 
-// Told takes what another daemon told.
-func (a *Away) Told(now time.Time, list []turmericwall.ChangingEngine) {
+// Told adds the role changes that a peer reports.
+func (r *Away) Told(now time.Time, list []turmericwall.ChangingEngine) {
 	for _, e := range list {
-		a.Note(e.ID, e.Role, now.Add(time.Duration(e.LeftMillis)*time.Millisecond))
+		r.Note(e.ID, e.Role, now.Add(time.Duration(e.LeftMillis)*time.Millisecond))
 	}
 }
--- a/internal/placement/twaway/away_test.go
+++ b/internal/placement/twaway/away_test.go
@@ -16,31 +16,32 @@
 	return turmericwall.Upstream{ID: "e", Role: role}
 }
 
-func TestAnEngineIsAwayUntilItShowsItsNewRole(t *testing.T) {
+func TestEngineChangesRoleUntilItReportsNewRole(t *testing.T) {
 	g := NewWithT(t)
-	a := twaway.New()
-	g.Expect(a.Is(start, engine(turmericwall.RoleDecode))).To(BeFalse())
-	a.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
-	g.Expect(a.Is(start.Add(12*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
-	g.Expect(a.Is(start.Add(13*time.Second), engine(turmericwall.RolePrefill))).To(BeFalse())
-	g.Expect(a.List(start.Add(13 * time.Second))).To(BeEmpty())
+	changes := twaway.New()
+	g.Expect(changes.Is(start, engine(turmericwall.RoleDecode))).To(BeFalse())
+	changes.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
+	g.Expect(changes.Is(start.Add(12*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
+	g.Expect(changes.Is(start.Add(13*time.Second), engine(turmericwall.RolePrefill))).To(BeFalse())
+	g.Expect(changes.List(start.Add(13 * time.Second))).To(BeEmpty())
 }
 
-func TestAChangeThatNeverShowsIsForgotten(t *testing.T) {
+func TestUnfinishedRoleChangeExpires(t *testing.T) {
 	g := NewWithT(t)
-	a := twaway.New()
-	a.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
-	g.Expect(a.Is(start.Add(21*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
+	changes := twaway.New()
+	changes.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
+	g.Expect(changes.Is(start.Add(21*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
 }
 
-// The leader orders an engine to change, and is cut off. The next leader takes the engine, which has no calls and refuses
-// all, for the emptiest one: 110 calls were refused in nine seconds. Told by the beats before, it leaves the engine alone.
-func TestTheNextLeaderKnowsWhichEnginesChange(t *testing.T) {
+// Guards against a leader that takes a changing engine for an idle one: after the leader that had ordered the change
+// was partitioned, 110 calls were refused in nine seconds. The deadline is sent as the time left, since the clocks of
+// daemons differ.
+func TestNextLeaderReceivesRoleChanges(t *testing.T) {
 	g := NewWithT(t)
 	former, next := twaway.New(), twaway.New()
 	former.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
-	elsewhere := start.Add(time.Hour)
-	next.Told(elsewhere, former.List(start.Add(time.Second)))
-	g.Expect(next.Is(elsewhere.Add(18*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
-	g.Expect(next.Is(elsewhere.Add(20*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
+	receivedAt := start.Add(time.Hour)
+	next.Told(receivedAt, former.List(start.Add(time.Second)))
+	g.Expect(next.Is(receivedAt.Add(18*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
+	g.Expect(next.Is(receivedAt.Add(20*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
 }
