--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -176,8 +176,8 @@
 	first, isRetry := a.callers.recordAttempt(now, request)
 	request.TargetDeadline = first.Add(target)
 	a.waiting = append(a.waiting, &waitingCall{request: request, enqueuedAt: now, isRetry: isRetry})
-	a.cost.Learn(twcost.Call{
-		PromptTokens: float64(request.Work.PromptTokens), Length: meanLength(request.Work.HintTokens, request.Work.MaxTokens),
+	a.cost.RecordCall(twcost.Call{
+		PromptTokens: float64(request.Work.PromptTokens), AnswerTokens: meanLength(request.Work.HintTokens, request.Work.MaxTokens),
 		Slots: a.plan.Slots, MemoryTokens: a.plan.MemoryTokens,
 	})
 }
--- a/internal/placement/twbooks/speeds.go
+++ b/internal/placement/twbooks/speeds.go
@@ -11,7 +11,7 @@
 func (a *Books) recordAnswer(end turmericwall.PlacementEnd) {
 	speed := float64(end.AnswerTokens) / float64(end.AnswerMillis)
 	a.decodeSpeed = movingAverage(a.decodeSpeed, speed)
-	a.cost.Answered(float64(end.AnswerTokens), float64(end.AnswerMillis))
+	a.cost.RecordAnswer(float64(end.AnswerTokens), float64(end.AnswerMillis))
 	e, ok := a.engines[a.engineByCall[end.ID]]
 	if !ok {
 		return
@@ -56,7 +56,7 @@
 	speed := a.prefillSpeedOf(now, prefillEngine)
 	if !a.partial {
 		if prefillEngine.upstream.Role == turmericwall.RolePrefill && prefillEngine.lastPrefillAt.After(r.placedAt) {
-			a.cost.Read(float64(r.work.PromptTokens), float64(now.Sub(prefillEngine.lastPrefillAt).Milliseconds()))
+			a.cost.RecordPrefill(float64(r.work.PromptTokens), float64(now.Sub(prefillEngine.lastPrefillAt).Milliseconds()))
 		}
 		prefillEngine.measurePrefill(now, r, speed)
 		a.updatePoolSpeed(now, prefillEngine)
--- a/internal/placement/twcost/cost.go
+++ b/internal/placement/twcost/cost.go
@@ -1,85 +1,92 @@
-// Package twcost learns what a model call takes of the engines that read and of those that answer.
+// Package twcost measures the mean engine time that a model call takes of prefill and decode engines. The placement
+// allocator records each call, and the leader divides the engines between the roles by the mean.
 package twcost
 
 import "github.com/turmericwall/turmericwall"
 
 const (
-	// keepShare is how much earlier calls count when another one comes: about two hundred are remembered, so that one
-	// engine of a dozen follows a change of the load and not the chance of some long answers.
-	keepShare = 0.995
-	// fewestCalls and fewestAnswers must have come before the mean is told: some three seconds of a small service's load.
-	fewestCalls, fewestAnswers = 40, 20
-	// keepSpeed is how much earlier prompts and answers count for the speeds: about fifty are remembered.
-	keepSpeed = 0.98
+	// callDecay is the factor by which the weight of earlier calls decreases with each new one. About two hundred calls
+	// count, so that one engine of a dozen follows a change of the load but not a few unusually long answers.
+	callDecay = 0.995
+	// minCalls and minAnswers must have been recorded before the mean is known, about three seconds of a small
+	// service's load.
+	minCalls, minAnswers = 40, 20
+	// speedDecay is the same factor for the speeds; about fifty prompts and answers count.
+	speedDecay = 0.98
 )
 
-// Cost is the mean cost of recent calls. It has no clock of its own.
+// Cost is the mean cost of recent calls. It has no clock of its own and is not safe for concurrent use.
 type Cost struct {
-	// prompt, share and growth are sums over calls: tokens to read, the part of an engine that an answer holds, and that
-	// part times the tokens of the answer.
-	prompt, share, growth, calls float64
-	seen, answers                int
-	// tokens were read, and made, in so many milliseconds.
-	readTokens, readMillis     float64
-	answerTokens, answerMillis float64
+	// Sums over calls with decreasing weights: the prompt tokens, the share of an engine that an answer holds, that
+	// share times the answer's tokens, and the calls themselves.
+	promptTokens, engineShare, shareTokens, callWeight float64
+	callCount, answerCount                             int
+	// Sums over prefills and answers with decreasing weights: prefillTokens were prefilled in prefillMillis,
+	// answerTokens decoded in answerMillis.
+	prefillTokens, prefillMillis float64
+	answerTokens, answerMillis   float64
 }
 
-// Call is one call as it comes.
+// Call is one call as it arrives.
 type Call struct {
 	PromptTokens float64
-	// Length is how long its answer is expected to be, in tokens.
-	Length float64
-	// Slots is how many calls one engine answers at once.
+	// AnswerTokens is the expected length of the answer.
+	AnswerTokens float64
+	// Slots is how many calls one engine decodes at once.
 	Slots int
-	// MemoryTokens is the memory of one engine; 0 when unknown.
+	// MemoryTokens is the memory of one engine in tokens; 0 when unknown.
 	MemoryTokens int
 }
 
 // New returns a cost without calls.
 func New() *Cost { return &Cost{} }
 
-// Learn takes one call.
+// RecordCall records one call when it arrives.
 //
-// Calls are counted as they come and not as they end: short answers end first, and after a start or in a burst they
-// would make answers look cheap.
-func (c *Cost) Learn(call Call) {
+// Calls are not recorded when they end, because short answers end first: after a start or in a burst, answers would
+// look cheaper than they are.
+func (c *Cost) RecordCall(call Call) {
 	share := 1 / float64(max(call.Slots, 1))
 	if call.MemoryTokens > 0 {
-		share = max(share, (call.PromptTokens+call.Length/2)/float64(call.MemoryTokens))
+		share = max(share, (call.PromptTokens+call.AnswerTokens/2)/float64(call.MemoryTokens))
 	}
-	c.prompt = keepShare*c.prompt + call.PromptTokens
-	c.share = keepShare*c.share + share
-	c.growth = keepShare*c.growth + share*call.Length
-	c.calls = keepShare*c.calls + 1
-	c.seen++
+	c.promptTokens = callDecay*c.promptTokens + call.PromptTokens
+	c.engineShare = callDecay*c.engineShare + share
+	c.shareTokens = callDecay*c.shareTokens + share*call.AnswerTokens
+	c.callWeight = callDecay*c.callWeight + 1
+	c.callCount++
 }
 
-// Read takes the reading of a prompt that followed another one without a pause: only then the time is the engine's own.
-func (c *Cost) Read(tokens, millis float64) {
-	c.readTokens = keepSpeed*c.readTokens + tokens
-	c.readMillis = keepSpeed*c.readMillis + millis
+// RecordPrefill records a prefill that followed another one on the same engine without a pause. Only then is the time
+// that of the engine itself.
+func (c *Cost) RecordPrefill(tokens, millis float64) {
+	c.prefillTokens = speedDecay*c.prefillTokens + tokens
+	c.prefillMillis = speedDecay*c.prefillMillis + millis
 }
 
-// Answered takes an answer's length and time.
-func (c *Cost) Answered(tokens, millis float64) {
-	c.answerTokens = keepSpeed*c.answerTokens + tokens
-	c.answerMillis = keepSpeed*c.answerMillis + millis
-	c.answers++
+// RecordAnswer records an answer's length and duration.
+func (c *Cost) RecordAnswer(tokens, millis float64) {
+	c.answerTokens = speedDecay*c.answerTokens + tokens
+	c.answerMillis = speedDecay*c.answerMillis + millis
+	c.answerCount++
 }
 
-// Mean returns the mean cost of a call; ok is false while too few are known. readSpeed is used until prompts were
-// read one after the other, in tokens a millisecond.
-func (c *Cost) Mean(readSpeed float64) (cost turmericwall.CallCost, ok bool) {
-	if c.seen < fewestCalls || c.answers < fewestAnswers || c.answerMillis <= 0 {
+// Mean returns the mean cost of a call; ok is false until enough calls have been recorded. prefillSpeed, in tokens per
+// millisecond, is used until consecutive prefills have been recorded.
+func (c *Cost) Mean(prefillSpeed float64) (cost turmericwall.CallCost, ok bool) {
+	if c.callCount < minCalls || c.answerCount < minAnswers || c.answerMillis <= 0 {
 		return turmericwall.CallCost{}, false
 	}
-	if c.readMillis > fewestMillis {
-		readSpeed = c.readTokens / c.readMillis
+	if c.prefillMillis > minPrefillMillis {
+		prefillSpeed = c.prefillTokens / c.prefillMillis
 	}
-	answerSpeed := c.answerTokens / c.answerMillis
-	read := c.prompt / c.calls / readSpeed
-	return turmericwall.CallCost{ReadMillis: read, AnswerMillis: c.growth/c.calls/answerSpeed + c.share/c.calls*read}, true
+	decodeSpeed := c.answerTokens / c.answerMillis
+	meanPrefillMillis := c.promptTokens / c.callWeight / prefillSpeed
+	return turmericwall.CallCost{
+		ReadMillis:   meanPrefillMillis,
+		AnswerMillis: c.shareTokens/c.callWeight/decodeSpeed + c.engineShare/c.callWeight*meanPrefillMillis,
+	}, true
 }
 
-// fewestMillis of reading tell a speed.
-const fewestMillis = 1000
+// minPrefillMillis is the recorded prefill time from which on the measured prefill speed is used.
+const minPrefillMillis = 1000
