--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -271,7 +271,7 @@
 		a.recordPrefill(now, end)
 	}
 	if end.Paused {
-		a.interference.Paused(end.ID)
+		a.interference.RecordPause(end.ID)
 	}
 	if !end.Running {
 		a.release(end.ID)
@@ -293,7 +293,7 @@
 	if !ok {
 		return
 	}
-	a.interference.Ended(id)
+	a.interference.Unwatch(id)
 	delete(a.engines[at].runs, id)
 	a.engines[at].memoryProjection = nil
 	delete(a.engineByCall, id)
--- a/internal/placement/twpauses/pauses.go
+++ b/internal/placement/twpauses/pauses.go
@@ -1,73 +1,85 @@
-// Package twpauses learns how often an engine that reads a prompt itself keeps its other streams waiting too long.
+// Package twpauses estimates how often a prefill on a decode engine delays the engine's other streams beyond the
+// allowed event gap. The placement allocator consults it before it lets a decode engine prefill a prompt itself.
 package twpauses
 
 import "time"
 
 const (
-	// assumedShare is the part of the streams that is taken to be late before any was seen, and assumedStreams the weight
-	// of that in streams: an engine with a few streams is worth the try, one with many isn't.
-	assumedShare   = 0.1
-	assumedStreams = 5
-	// keepShare is how much earlier streams count when another one is judged: some hundred are remembered.
-	keepShare = 0.99
-	// enoughStreams is how many streams must have been judged before trials aren't limited to mostWatched at a time.
-	enoughStreams = 12
-	mostWatched   = 4
-	// judgeSpan is how long a stream is watched: its daemon tells of a pause that is too long within two events.
-	judgeSpan = 300 * time.Millisecond
+	// priorLateShare is the assumed share of late streams before any was observed, and priorStreams the weight of that
+	// in streams. With it, a trial is made on an engine with a few streams but not on one with many.
+	priorLateShare = 0.1
+	priorStreams   = 5
+	// streamDecay is the factor by which the weight of earlier streams decreases with each new one; about a hundred
+	// count.
+	streamDecay = 0.99
+	// minEvaluated is how many streams must have been evaluated before trials are no longer limited to maxTrialStreams
+	// at a time.
+	minEvaluated    = 12
+	maxTrialStreams = 4
+	// observationSpan is how long a stream is observed after the prefill. Its daemon reports too long a pause within
+	// two events.
+	observationSpan = 300 * time.Millisecond
 )
 
-// Pauses counts the streams beside which a prompt was read, and those of them that paused too long.
+// Pauses counts the streams whose engine did a prefill at the same time, and those of them that paused too long. It has
+// no clock of its own and is not safe for concurrent use.
 //
-// How long a stream pauses depends on how large the pieces are in which its engine reads between two tokens. Engines
-// don't tell that; some read so much at once that each stream waits for the whole prompt, others hardly pause.
+// How long a stream pauses depends on the size of the engine's prefill chunks, which engines don't report: some prefill
+// so much at once that each stream waits for the whole prompt, others hardly pause.
 type Pauses struct {
-	streams, late float64
-	judged        int
-	// watched are the streams that were disturbed, and until when a pause counts.
+	// streamWeight is the weighted number of evaluated streams, lateWeight that of the late ones.
+	streamWeight, lateWeight float64
+	evaluated                int
+	// watched are the observed streams, with the end of their observation.
 	watched map[string]time.Time
 }
 
-// New returns pauses without streams.
+// New returns the prior estimate without streams.
 func New() *Pauses {
-	return &Pauses{streams: assumedStreams, late: assumedShare * assumedStreams, watched: make(map[string]time.Time)}
+	return &Pauses{
+		streamWeight: priorStreams, lateWeight: priorLateShare * priorStreams, watched: make(map[string]time.Time),
+	}
 }
 
-// Watch takes a stream beside which a prompt is read until the moment readAt.
-func (p *Pauses) Watch(stream string, readAt time.Time) { p.watched[stream] = readAt.Add(judgeSpan) }
+// Watch observes a stream whose engine does a prefill until prefillEndsAt.
+func (i *Pauses) Watch(stream string, prefillEndsAt time.Time) {
+	i.watched[stream] = prefillEndsAt.Add(observationSpan)
+}
 
-// Paused takes the news that a stream paused too long; one that was not disturbed says nothing.
-func (p *Pauses) Paused(stream string) {
-	if _, ok := p.watched[stream]; !ok {
+// RecordPause records that a stream paused too long. It is ignored for a stream that is not observed, since the pause
+// has another cause.
+func (i *Pauses) RecordPause(stream string) {
+	if _, ok := i.watched[stream]; !ok {
 		return
 	}
-	delete(p.watched, stream)
-	p.learn(true)
+	delete(i.watched, stream)
+	i.record(true)
 }
 
-// Ended forgets a stream that can't pause any more.
-func (p *Pauses) Ended(stream string) { delete(p.watched, stream) }
+// Unwatch ends the observation of a stream that has ended.
+func (i *Pauses) Unwatch(stream string) { delete(i.watched, stream) }
 
-// LateShare is the part of the streams that is expected to pause too long, 0 to 1. While little is known and trials are
-// under way it is 1: a few show what comes of it before many streams are late.
-func (p *Pauses) LateShare(now time.Time) float64 {
-	for stream, until := range p.watched {
+// LateShare returns the share of the streams that is expected to pause too long, 0 to 1. It returns 1 while few streams
+// have been evaluated and maxTrialStreams are observed, so that a few trials show the effect before many streams are
+// late.
+func (i *Pauses) LateShare(now time.Time) float64 {
+	for stream, until := range i.watched {
 		if now.After(until) {
-			delete(p.watched, stream)
-			p.learn(false)
+			delete(i.watched, stream)
+			i.record(false)
 		}
 	}
-	if p.judged < enoughStreams && len(p.watched) >= mostWatched {
+	if i.evaluated < minEvaluated && len(i.watched) >= maxTrialStreams {
 		return 1
 	}
-	return p.late / p.streams
+	return i.lateWeight / i.streamWeight
 }
 
-func (p *Pauses) learn(late bool) {
-	p.judged++
-	p.streams = keepShare*p.streams + 1
-	p.late *= keepShare
+func (i *Pauses) record(late bool) {
+	i.evaluated++
+	i.streamWeight = streamDecay*i.streamWeight + 1
+	i.lateWeight *= streamDecay
 	if late {
-		p.late++
+		i.lateWeight++
 	}
 }
--- a/internal/placement/twpauses/pauses_test.go
+++ b/internal/placement/twpauses/pauses_test.go
@@ -12,43 +12,43 @@
 
 var start = time.Unix(5000, 0)
 
-func TestTrialsAreAwaitedWhileLittleIsKnown(t *testing.T) {
+func TestTrialStreamsAreLimitedUntilEvaluated(t *testing.T) {
 	g := NewWithT(t)
-	p := twpauses.New()
-	before := p.LateShare(start)
+	interference := twpauses.New()
+	before := interference.LateShare(start)
 	g.Expect(before).To(BeNumerically("<", 0.5), "a trial beside a few streams is worth it")
 	for i := range 4 {
-		p.Watch(fmt.Sprint(i), start.Add(200*time.Millisecond))
+		interference.Watch(fmt.Sprint(i), start.Add(200*time.Millisecond))
 	}
-	g.Expect(p.LateShare(start.Add(100 * time.Millisecond))).To(Equal(1.0))
-	g.Expect(p.LateShare(start.Add(time.Second))).To(BeNumerically("<", before), "the streams did not pause")
+	g.Expect(interference.LateShare(start.Add(100 * time.Millisecond))).To(Equal(1.0))
+	g.Expect(interference.LateShare(start.Add(time.Second))).To(BeNumerically("<", before), "the streams did not pause")
 }
 
-func TestStreamsThatPauseSpeakAgainstReadingBesideThem(t *testing.T) {
+func TestPausedStreamsRaiseLateShare(t *testing.T) {
 	g := NewWithT(t)
-	p := twpauses.New()
+	interference := twpauses.New()
 	for i := range 4 {
-		p.Watch(fmt.Sprint(i), start)
-		p.Paused(fmt.Sprint(i))
+		interference.Watch(fmt.Sprint(i), start)
+		interference.RecordPause(fmt.Sprint(i))
 	}
-	g.Expect(p.LateShare(start)).To(BeNumerically(">", 0.4))
+	g.Expect(interference.LateShare(start)).To(BeNumerically(">", 0.4))
 }
 
-// Streams pause for other reasons too, by a lost packet for one. A pause beside which no prompt was read says nothing.
-func TestAPauseOfAnUndisturbedStreamSaysNothing(t *testing.T) {
+// Guards against counting pauses with another cause, such as a lost packet, as an effect of prefills.
+func TestPauseOfUnwatchedStreamIsIgnored(t *testing.T) {
 	g := NewWithT(t)
-	p := twpauses.New()
-	before := p.LateShare(start)
-	p.Paused("other")
-	g.Expect(p.LateShare(start)).To(Equal(before))
+	interference := twpauses.New()
+	before := interference.LateShare(start)
+	interference.RecordPause("other")
+	g.Expect(interference.LateShare(start)).To(Equal(before))
 }
 
-func TestAStreamThatEndedIsNotAwaited(t *testing.T) {
+func TestEndedStreamIsNotWatched(t *testing.T) {
 	g := NewWithT(t)
-	p := twpauses.New()
+	interference := twpauses.New()
 	for i := range 4 {
-		p.Watch(fmt.Sprint(i), start.Add(time.Hour))
-		p.Ended(fmt.Sprint(i))
+		interference.Watch(fmt.Sprint(i), start.Add(time.Hour))
+		interference.Unwatch(fmt.Sprint(i))
 	}
-	g.Expect(p.LateShare(start)).To(BeNumerically("<", 0.5))
+	g.Expect(interference.LateShare(start)).To(BeNumerically("<", 0.5))
 }
