--- a/internal/placement/twsplit/split.go
+++ b/internal/placement/twsplit/split.go
@@ -1,12 +1,13 @@
-// Package twsplit weighs how many of a service's engines read prompts and how many answer.
+// Package twsplit computes how many calls a service can serve with a given number of prefill and decode engines. The
+// leader uses it to decide which engines change their role.
 package twsplit
 
 import "github.com/turmericwall/turmericwall"
 
-// Split is a number of engines of each role.
+// Split is the number of engines of each role.
 type Split struct{ Prefills, Decodes int }
 
-// Moved is the split after one engine took the role.
+// Moved returns the split after one engine of the other role has changed to the role.
 func (s Split) Moved(role turmericwall.Role) Split {
 	if role == turmericwall.RolePrefill {
 		return Split{Prefills: s.Prefills + 1, Decodes: s.Decodes - 1}
@@ -14,7 +15,7 @@
 	return Split{Prefills: s.Prefills - 1, Decodes: s.Decodes + 1}
 }
 
-// Best is the split that is worth most when engines take the role one by one.
+// Best returns the split with the highest worth that is reached when engines change to the role one by one.
 func (s Split) Best(role turmericwall.Role, cost turmericwall.CallCost) Split {
 	for {
 		next := s.Moved(role)
@@ -25,26 +26,28 @@
 	}
 }
 
-// Rate is how many calls a millisecond the split can serve when each takes cost: the scarcer role decides.
+// Rate returns how many calls per millisecond the split can serve; the scarcer role limits it. It is 0 without engines
+// of one role.
 func (s Split) Rate(cost turmericwall.CallCost) float64 {
 	if s.Prefills <= 0 || s.Decodes <= 0 {
 		return 0
 	}
-	return min(float64(s.Prefills)/max(cost.ReadMillis, least), float64(s.Decodes)/max(cost.AnswerMillis, least))
+	return min(float64(s.Prefills)/max(cost.ReadMillis, minCostMillis), float64(s.Decodes)/max(cost.AnswerMillis, minCostMillis))
 }
 
-// least keeps a rate finite, in milliseconds.
-const least = 0.001
+// minCostMillis is the lowest cost of a call that is computed with; it keeps rates finite.
+const minCostMillis = 0.001
 
-// Worth is the split's rate, half of it as it is after the loss of one engine.
+// Worth returns the value by which splits are compared, in calls per millisecond: the mean of the rate and of the
+// expected rate after the loss of one engine.
 //
-// The best rate alone leaves one engine to read for a small service: its loss stops every call.
+// The rate alone would leave one prefill engine to a small service, and the loss of that engine would stop every call.
 func (s Split) Worth(cost turmericwall.CallCost) float64 {
 	total := float64(s.Prefills + s.Decodes)
 	if total <= 0 {
 		return 0
 	}
-	reader := Split{Prefills: s.Prefills - 1, Decodes: s.Decodes}.Rate(cost) * float64(s.Prefills)
-	answerer := Split{Prefills: s.Prefills, Decodes: s.Decodes - 1}.Rate(cost) * float64(s.Decodes)
-	return (s.Rate(cost) + (reader+answerer)/total) / 2
+	afterPrefillLoss := Split{Prefills: s.Prefills - 1, Decodes: s.Decodes}.Rate(cost) * float64(s.Prefills)
+	afterDecodeLoss := Split{Prefills: s.Prefills, Decodes: s.Decodes - 1}.Rate(cost) * float64(s.Decodes)
+	return (s.Rate(cost) + (afterPrefillLoss+afterDecodeLoss)/total) / 2
 }
--- a/internal/placement/twsplit/split_test.go
+++ b/internal/placement/twsplit/split_test.go
@@ -11,15 +11,15 @@
 
 var cost = turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 300}
 
-func TestTheScarcerRoleDecides(t *testing.T) {
+func TestRateIsLimitedByScarcerRole(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(twsplit.Split{Prefills: 3, Decodes: 9}.Rate(cost)).To(BeNumerically("~", 0.03, 1e-9))
 	g.Expect(twsplit.Split{Prefills: 1, Decodes: 11}.Rate(cost)).To(BeNumerically("~", 0.01, 1e-9))
 	g.Expect(twsplit.Split{Prefills: 0, Decodes: 12}.Rate(cost)).To(BeZero())
 }
 
-// One engine reads for eleven. Its loss would stop every call; that of another one would be borne.
-func TestTheLossOfOneEngineIsWeighed(t *testing.T) {
+// Guards against a split with one prefill engine for eleven decode engines, whose loss would stop every call.
+func TestWorthIncludesLossOfOneEngine(t *testing.T) {
 	g := NewWithT(t)
 	cost := turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 1000}
 	one := twsplit.Split{Prefills: 1, Decodes: 11}
@@ -28,15 +28,16 @@
 	g.Expect(twsplit.Split{}.Worth(cost)).To(BeZero())
 }
 
-func TestAMoveKeepsTheNumberOfEngines(t *testing.T) {
+func TestMoveKeepsNumberOfEngines(t *testing.T) {
 	g := NewWithT(t)
 	s := twsplit.Split{Prefills: 3, Decodes: 9}
 	g.Expect(s.Moved(turmericwall.RolePrefill)).To(Equal(twsplit.Split{Prefills: 4, Decodes: 8}))
 	g.Expect(s.Moved(turmericwall.RoleDecode)).To(Equal(twsplit.Split{Prefills: 2, Decodes: 10}))
 }
 
-// Of sixty engines eight too many read. Each one alone that answers instead brings two in a hundred, all together a fifth.
-func TestTheBestSplitIsFoundFromAfar(t *testing.T) {
+// Guards against keeping eight of sixty engines in the wrong role: each move alone raises the rate by 2%, all together
+// by a fifth.
+func TestBestSplitIsFoundOverSeveralMoves(t *testing.T) {
 	g := NewWithT(t)
 	cost := turmericwall.CallCost{ReadMillis: 104, AnswerMillis: 480}
 	s := twsplit.Split{Prefills: 18, Decodes: 42}
