--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -177,8 +177,9 @@
 	request.TargetDeadline = first.Add(target)
 	a.waiting = append(a.waiting, &waitingCall{request: request, enqueuedAt: now, isRetry: isRetry})
 	a.cost.RecordCall(twcost.Call{
-		PromptTokens: float64(request.Work.PromptTokens), AnswerTokens: meanLength(request.Work.HintTokens, request.Work.MaxTokens),
-		Slots: a.plan.Slots, MemoryTokens: a.plan.MemoryTokens,
+		PromptTokens: float64(request.Work.PromptTokens),
+		AnswerTokens: meanLength(request.Work.HintTokens, request.Work.MaxTokens),
+		Slots:        a.plan.Slots, MemoryTokens: a.plan.MemoryTokens,
 	})
 }
 
@@ -241,8 +242,8 @@
 func (a *Books) Sweep(now time.Time) {
 	for id, at := range a.engineByCall {
 		r := a.engines[at].runs[id]
-		longest := float64(max(r.work.MaxTokens, r.work.HintTokens)) / a.decodeSpeed
-		if now.After(r.firstTokenAt.Add(millis(overdueFactor*longest + overdueMillis))) {
+		longestMillis := float64(max(r.work.MaxTokens, r.work.HintTokens)) / a.decodeSpeed
+		if now.After(r.firstTokenAt.Add(millis(overdueFactor*longestMillis + overdueMillis))) {
 			a.release(id)
 		}
 	}
@@ -311,6 +312,7 @@
 	delete(a.engines, id)
 }
 
+// millis returns a duration of n milliseconds. It is limited to 1e7 ms, so that the conversion can't overflow.
 func millis(n float64) time.Duration {
 	return time.Duration(math.Min(n, 1e7) * float64(time.Millisecond))
 }
--- a/internal/placement/twbooks/decide.go
+++ b/internal/placement/twbooks/decide.go
@@ -96,11 +96,11 @@
 
 // markEjected marks the engines that get no calls because calls failed there.
 func (a *Books) markEjected(now time.Time, engines []*engine) {
-	left := int(maxEjectedShare * float64(len(engines)))
+	remaining := int(maxEjectedShare * float64(len(engines)))
 	for _, e := range engines {
-		e.ejected = left > 0 && a.ejections.IsEjected(now, e.upstream.ID)
+		e.ejected = remaining > 0 && a.ejections.IsEjected(now, e.upstream.ID)
 		if e.ejected {
-			left--
+			remaining--
 		}
 	}
 }
@@ -193,8 +193,8 @@
 	return placement, true
 }
 
-// meetsTarget reports whether the first event can be on time when the prefill ends in prefillMillis. A late call may
-// use a prefill engine only if it hardly delays other calls there.
+// meetsTarget reports whether the first event can be on time when the prefill ends in prefillMillis. For a late call it
+// reports whether the wait at the engine is so short that the call hardly delays others.
 func (a *Books) meetsTarget(now time.Time, w *waitingCall, prefillMillis float64) bool {
 	if w.late {
 		return prefillMillis-float64(w.request.Work.PromptTokens)/a.poolPrefillSpeed(now) < a.tuning.LatePrefillWaitMillis
--- a/internal/placement/twbooks/ejection_test.go
+++ b/internal/placement/twbooks/ejection_test.go
@@ -74,7 +74,8 @@
 	g := NewWithT(t)
 	a := newAllocator(1, 2)
 	for millis := 0; millis < 2000; millis += 100 {
-		a.ApplyUpdate(start.Add(time.Duration(millis)*time.Millisecond), turmericwall.PlacementEnd{ID: "none", Doubted: "p00"})
+		a.ApplyUpdate(start.Add(time.Duration(millis)*time.Millisecond),
+			turmericwall.PlacementEnd{ID: "none", Doubted: "p00"})
 	}
 	at := start.Add(2500 * time.Millisecond)
 	a.Enqueue(at, placeRequest("call", at, 500, 300))
--- a/internal/placement/twbooks/kept.go
+++ b/internal/placement/twbooks/kept.go
@@ -97,11 +97,11 @@
 // recordCacheOutcome records whether the engine had the prompt in its cache. Full engines evict cached prompts for new
 // runs.
 func (a *Books) recordCacheOutcome(now time.Time, r *run, end turmericwall.PlacementEnd) {
-	found := 0.0
+	hit := 0.0
 	if float64(end.PromptMillis) <
 		cacheMissShare*float64(r.work.PromptTokens)/a.bestPrefillSpeed*a.tuning.LocalPrefillSlowdown {
-		found = 1
+		hit = 1
 	}
-	a.cacheHitShare = movingAverage(a.cacheHitShare, found)
+	a.cacheHitShare = movingAverage(a.cacheHitShare, hit)
 	a.cacheHitShareAt = now
 }
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twbooks/kept_test.go
@@ -75,19 +75,19 @@
 	g := NewWithT(t)
 	a := allocatorAfterCrash(g, 8)
 	at := start.Add(500 * time.Millisecond)
-	read := 0
+	prefilledElsewhere := 0
 	for i := range 8 {
 		a.Enqueue(at, retryOf(i, at))
 		placed := a.Decide(at).Placed
 		g.Expect(placed).To(HaveLen(1))
 		if placed[0].Prefill.ID != "" {
-			read++
+			prefilledElsewhere++
 		}
 		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID, Running: true, PromptRead: true, PromptMillis: 240})
 		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID})
 		at = at.Add(300 * time.Millisecond)
 	}
-	g.Expect(read).To(BeNumerically(">=", 4))
+	g.Expect(prefilledElsewhere).To(BeNumerically(">=", 4))
 	at = at.Add(11 * time.Second)
 	a.RecordCachedPrompts(at, turmericwall.UpstreamKey{ID: "d00"},
 		[]turmericwall.KeptPrompt{{Subject: "later", Tokens: 4900}})
@@ -96,8 +96,8 @@
 	g.Expect(a.Decide(at).Placed[0].Prefill.ID).To(BeEmpty(), "the cache is used again after the interval")
 }
 
-// Guards against a leader that knows no caller after all daemons lost power, although its engines have reported their
-// cached prompts.
+// Guards against prefilling prompts of retries again at a new leader that knows no caller, after all daemons have lost
+// power, although the engines have reported their cached prompts.
 func TestNewLeaderUsesReportedCachedPrompts(t *testing.T) {
 	g := NewWithT(t)
 	a := newAllocator(1, 4)
@@ -110,10 +110,10 @@
 	a.Enqueue(at, retryOf(1, at))
 	d := a.Decide(at)
 	g.Expect(d.Placed).To(HaveLen(2))
-	places := map[string]turmericwall.Placement{d.Placed[0].ID: d.Placed[0], d.Placed[1].ID: d.Placed[1]}
-	g.Expect(places["again0"].Decode.ID).To(Equal("d02"))
-	g.Expect(places["again0"].Prefill.ID).To(BeEmpty())
-	g.Expect(places["again1"].Prefill.ID).To(Equal("p00"))
+	placements := map[string]turmericwall.Placement{d.Placed[0].ID: d.Placed[0], d.Placed[1].ID: d.Placed[1]}
+	g.Expect(placements["again0"].Decode.ID).To(Equal("d02"))
+	g.Expect(placements["again0"].Prefill.ID).To(BeEmpty())
+	g.Expect(placements["again1"].Prefill.ID).To(Equal("p00"))
 }
 
 // Guards against counting on a cached prompt after the engine got more calls than fit into its memory: the caller would
--- a/internal/placement/twbooks/refuse.go
+++ b/internal/placement/twbooks/refuse.go
@@ -19,8 +19,8 @@
 	unknownWaitMillis = 500
 )
 
-// refuse decides whether a call that was not placed is refused, because its first event can't be on time any more.
-// callsAhead is how many calls wait before it.
+// refuse returns the refusal of a call that was not placed, and false when the call may still be on time and keeps
+// waiting. callsAhead is how many calls wait before it.
 func (a *Books) refuse(st *decisionState, w *waitingCall, callsAhead int) (Refusal, bool) {
 	if a.plan.MemoryTokens > 0 && w.request.Work.PromptTokens >= a.plan.MemoryTokens {
 		return Refusal{ID: w.request.ID, Reason: "the prompt exceeds an engine's memory", Permanent: true}, true
--- a/internal/placement/twbooks/speeds.go
+++ b/internal/placement/twbooks/speeds.go
@@ -61,15 +61,15 @@
 		prefillEngine.measurePrefill(now, r, speed)
 		a.updatePoolSpeed(now, prefillEngine)
 	}
-	left := 0.0
+	pendingTokens := 0.0
 	for _, other := range a.engines {
 		for _, o := range other.runs {
 			if o.prefilling && o.prefillEngineID == r.prefillEngineID {
-				left += float64(o.work.PromptTokens)
+				pendingTokens += float64(o.work.PromptTokens)
 			}
 		}
 	}
-	prefillEngine.prefillBacklog = left
+	prefillEngine.prefillBacklog = pendingTokens
 	prefillEngine.prefillBacklogAt = now
 }
 
--- a/internal/placement/twcost/cost_test.go
+++ b/internal/placement/twcost/cost_test.go
@@ -19,13 +19,17 @@
 
 func TestMeanIsUnknownAfterTooFewCalls(t *testing.T) {
 	g := NewWithT(t)
-	_, ok := costAfterCalls(10, twcost.Call{PromptTokens: 5000, AnswerTokens: 500, Slots: 64, MemoryTokens: 50_000}).Mean(50)
+	_, ok := costAfterCalls(10, twcost.Call{
+		PromptTokens: 5000, AnswerTokens: 500, Slots: 64, MemoryTokens: 50_000,
+	}).Mean(50)
 	g.Expect(ok).To(BeFalse())
 }
 
 func TestAnswerCostsLargerShareOfMemoryOrSlots(t *testing.T) {
 	g := NewWithT(t)
-	cost, ok := costAfterCalls(100, twcost.Call{PromptTokens: 5000, AnswerTokens: 1000, Slots: 64, MemoryTokens: 55_000}).Mean(50)
+	cost, ok := costAfterCalls(100, twcost.Call{
+		PromptTokens: 5000, AnswerTokens: 1000, Slots: 64, MemoryTokens: 55_000,
+	}).Mean(50)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(cost.ReadMillis).To(BeNumerically("~", 100, 0.1))
 	g.Expect(cost.AnswerMillis).To(BeNumerically("~", 510, 0.1), "a tenth of the memory for 5,100 ms")
--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -1,6 +1,6 @@
 // Package twdelegate places this daemon's model calls: it requests each placement from the leader and uses the
-// daemon's own coordinator while no leader answers. It also reports the ends of calls to the leader, and all placed calls to a
-// new one.
+// daemon's own coordinator while no leader answers. It also reports the ends of calls to the leader, and all placed
+// calls to a new one.
 package twdelegate
 
 import (
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -28,7 +28,9 @@
 	failing bool
 }
 
-func (l *fakeLeader) Place(ctx context.Context, _ string, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (l *fakeLeader) Place(
+	ctx context.Context, _ string, request turmericwall.PlaceAsk,
+) (turmericwall.Placement, error) {
 	p, err := l.place(ctx)
 	p.ID = request.ID
 	return p, err
@@ -73,6 +75,7 @@
 	return len(l.ended), len(l.runs), l.reports
 }
 
+// fixture is a running delegate with a fake leader, which is current while live is set.
 type fixture struct {
 	delegate *twdelegate.Delegate
 	leader   *fakeLeader
@@ -217,7 +220,8 @@
 	s.setLeader("next", true)
 	g.Eventually(func() int { _, runs, _ := s.leader.counts(); return runs }).Should(Equal(1))
 	g.Expect(s.leader.runs[0].Engine).To(Equal("d"))
-	g.Consistently(func() int { _, _, reports := s.leader.counts(); return reports }, 300*time.Millisecond).Should(Equal(1))
+	g.Consistently(func() int { _, _, reports := s.leader.counts(); return reports }, 300*time.Millisecond).
+		Should(Equal(1))
 }
 
 func TestEndsAreResentUntilLeaderIsReachable(t *testing.T) {
--- a/internal/placement/twsplit/split.go
+++ b/internal/placement/twsplit/split.go
@@ -32,7 +32,10 @@
 	if s.Prefills <= 0 || s.Decodes <= 0 {
 		return 0
 	}
-	return min(float64(s.Prefills)/max(cost.ReadMillis, minCostMillis), float64(s.Decodes)/max(cost.AnswerMillis, minCostMillis))
+	return min(
+		float64(s.Prefills)/max(cost.ReadMillis, minCostMillis),
+		float64(s.Decodes)/max(cost.AnswerMillis, minCostMillis),
+	)
 }
 
 // minCostMillis is the lowest cost of a call that is computed with; it keeps rates finite.
