--- a/internal/placement/twscheduler/bench_test.go
+++ b/internal/placement/twscheduler/bench_test.go
@@ -10,14 +10,16 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twscheduler"
 )
 
-// benchSlots is how many attempts one engine of a benchmark decodes at a time.
+// benchSlots is the number of decode slots of each benchmark engine.
 const benchSlots = 20
 
 func benchScheduler(engines int) *twscheduler.Scheduler {
 	s := twscheduler.New(twscheduler.Config{BlockTokens: 64})
 	listed := turmericwall.Listed{}
 	for i := range engines {
-		listed.VMs = append(listed.VMs, turmericwall.VM{Name: fmt.Sprintf("e%03d", i), Address: "a", State: turmericwall.VMLive})
+		listed.VMs = append(listed.VMs, turmericwall.VM{
+			Name: fmt.Sprintf("e%03d", i), Address: "a", State: turmericwall.VMLive,
+		})
 	}
 	s.Step(start, listed)
 	for i, v := range listed.VMs {
@@ -26,13 +28,14 @@
 			role = turmericwall.RolePrefill
 		}
 		s.Step(start, turmericwall.Reported{VM: v, Report: turmericwall.Report{
-			Role: role, Models: []string{model}, Slots: benchSlots, Pieces: pieces * 10, PrefillRate: prefillRate, StepMillis: stepMillis, StepPerSlotMillis: perSlot,
+			Role: role, Models: []string{model}, Slots: benchSlots, Pieces: pieces * 10, PrefillRate: prefillRate,
+			StepMillis: stepMillis, StepPerSlotMillis: stepPerSlotMillis,
 		}})
 	}
 	return s
 }
 
-// BenchmarkDecision is one placement and its release, with so many engines in view.
+// BenchmarkDecision measures one placement and its release for pools of several sizes.
 func BenchmarkDecision(b *testing.B) {
 	blocks := make([]uint64, 16)
 	for i := range blocks {
@@ -45,8 +48,8 @@
 			for i := 0; b.Loop(); i++ {
 				now := start.Add(time.Duration(i%1000) * time.Millisecond)
 				s.Step(now, turmericwall.Arrival{
-					Attempt: "o:1/1", Model: model, Work: "w", Urgent: true, Worth: 1, PromptTokens: 1000, MaxTokens: 50, Blocks: blocks,
-					FirstTokenDeadline: now.Add(time.Hour),
+					Attempt: "o:1/1", Model: model, Work: "w", Urgent: true, Worth: 1, PromptTokens: 1000, MaxTokens: 50,
+					Blocks: blocks, FirstTokenDeadline: now.Add(time.Hour),
 				})
 				s.Step(now, turmericwall.Finished{Ending: turmericwall.Ending{Attempt: "o:1/1"}})
 			}
@@ -54,26 +57,28 @@
 	}
 }
 
-// BenchmarkEngineView weighs the view of one prefill engine whose prefix table is full.
+// BenchmarkEngineView measures the memory of the view of one prefill engine with a full prefix cache.
 func BenchmarkEngineView(b *testing.B) {
 	const engines, blocks = 40, 8192
 	for b.Loop() {
-		before := heap()
+		before := liveHeapBytes()
 		s := benchScheduler(engines)
 		for i := range engines {
 			var c turmericwall.Cached
 			c.Engine = fmt.Sprintf("e%03d", i)
 			for block := range uint64(blocks) {
-				c.Events.Events = append(c.Events.Events, turmericwall.CacheEvent{Sequence: block + 1, Block: block * 7919})
+				c.Events.Events = append(c.Events.Events, turmericwall.CacheEvent{
+					Sequence: block + 1, Block: block * 7919,
+				})
 			}
 			s.Step(start, c)
 		}
-		b.ReportMetric(float64(heap()-before)/engines/1000, "KB/engine")
+		b.ReportMetric(float64(liveHeapBytes()-before)/engines/1000, "KB/engine")
 		runtime.KeepAlive(s)
 	}
 }
 
-func heap() uint64 {
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/placement/twscheduler/demand.go
+++ b/internal/placement/twscheduler/demand.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// demandMemory is the time over which the demand of urgent work is averaged.
-const demandMemory = 5 * time.Second
+// demandTimeConstant is the time constant of the exponential average of urgent demand.
+const demandTimeConstant = 5 * time.Second
 
-// demand estimates how many decode places urgent work needs at a time: the slot time that arrived lately,
-// per second, with older arrivals fading.
+// demand estimates how many decode slots urgent work needs at a time: the slot time of recent arrivals per second,
+// as an exponential average.
 type demand struct {
 	slotSeconds float64
-	updated     time.Time
-	started     time.Time
+	updatedAt   time.Time
+	startedAt   time.Time
 }
 
-func (d *demand) arrive(now time.Time, hold time.Duration) {
-	d.fade(now)
-	d.slotSeconds += hold.Seconds()
+func (d *demand) add(now time.Time, slotTime time.Duration) {
+	d.decay(now)
+	d.slotSeconds += slotTime.Seconds()
 }
 
-// slots returns the places needed; in the first seconds the average counts only the time there was.
+// slots returns the number of decode slots needed. Until the time constant has passed, the average covers only the
+// time since the first arrival.
 func (d *demand) slots(now time.Time) float64 {
-	if d.started.IsZero() {
+	if d.startedAt.IsZero() {
 		return 0
 	}
-	d.fade(now)
-	seen := 1 - math.Exp(-max(minSeen, now.Sub(d.started).Seconds())/demandMemory.Seconds())
-	return d.slotSeconds / (demandMemory.Seconds() * seen)
+	d.decay(now)
+	coverage := 1 - math.Exp(-max(minObservedSeconds, now.Sub(d.startedAt).Seconds())/demandTimeConstant.Seconds())
+	return d.slotSeconds / (demandTimeConstant.Seconds() * coverage)
 }
 
-const minSeen = 0.5
+// minObservedSeconds keeps the first arrivals from giving an excessive estimate.
+const minObservedSeconds = 0.5
 
-func (d *demand) fade(now time.Time) {
-	if d.started.IsZero() {
-		d.started, d.updated = now, now
+func (d *demand) decay(now time.Time) {
+	if d.startedAt.IsZero() {
+		d.startedAt, d.updatedAt = now, now
 		return
 	}
-	d.slotSeconds *= math.Exp(-now.Sub(d.updated).Seconds() / demandMemory.Seconds())
-	d.updated = now
+	d.slotSeconds *= math.Exp(-now.Sub(d.updatedAt).Seconds() / demandTimeConstant.Seconds())
+	d.updatedAt = now
 }
--- a/internal/placement/twscheduler/dispatch.go
+++ b/internal/placement/twscheduler/dispatch.go
@@ -6,159 +6,162 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// dispatch places what it can: what has begun, then urgent work, then work that may wait.
+// dispatch places the waiting arrivals that engines have room for: resumed attempts, then urgent work, then
+// deferrable work.
 func (s *Scheduler) dispatch(now time.Time) {
 	for _, q := range s.queues {
 		q.blocked = false
 	}
-	s.serve(now, classResumed)
-	s.serve(now, classUrgent)
-	s.giveUp(now)
-	s.serve(now, classDeferrable)
+	s.placeClass(now, classResumed)
+	s.placeClass(now, classUrgent)
+	s.refuseExpired(now)
+	s.placeClass(now, classDeferrable)
 }
 
-// serve places the arrivals of a class, the kind of work whose turn it is first. A head that has to wait
-// holds up its own model only: another model's engines may have places.
-func (s *Scheduler) serve(now time.Time, c class) {
+// placeClass places the waiting arrivals of a class, the queue with the lowest virtual time first. A head that has
+// to wait blocks only the queues of its own model: engines of another model may have free slots.
+func (s *Scheduler) placeClass(now time.Time, c class) {
 	for {
-		q := s.next(c)
+		q := s.nextQueue(c)
 		if q == nil {
 			return
 		}
-		if !s.serveHead(now, q) {
-			s.block(q.model)
+		if !s.placeHead(now, q) {
+			s.blockModel(q.model)
 		}
 	}
 }
 
-// next returns the kind of work whose turn it is.
-func (s *Scheduler) next(c class) *queue {
+// nextQueue returns the unblocked queue of the class with the lowest virtual time, or nil.
+func (s *Scheduler) nextQueue(c class) *queue {
 	var next *queue
 	for _, q := range s.queues {
-		if q.class == c && !q.blocked && len(q.entries) > 0 && (next == nil || q.virtual < next.virtual) {
+		if q.class == c && !q.blocked && len(q.entries) > 0 && (next == nil || q.virtualTime < next.virtualTime) {
 			next = q
 		}
 	}
 	return next
 }
 
-func (s *Scheduler) block(model string) {
+func (s *Scheduler) blockModel(model string) {
 	for _, q := range s.queues {
 		q.blocked = q.blocked || q.model == model
 	}
 }
 
-// serveHead places or refuses the head; it returns false when the head has to wait.
-func (s *Scheduler) serveHead(now time.Time, q *queue) bool {
+// placeHead places or refuses the head of the queue; it returns false when the head has to wait.
+func (s *Scheduler) placeHead(now time.Time, q *queue) bool {
 	head := q.head()
 	a := head.arrival
-	best, v := s.place(now, a)
+	best, v := s.findPair(now, a)
 	if v != verdictPlaced && len(a.Avoid) > 0 {
-		// Avoiding is a preference: an engine that failed once is better than none.
+		// Avoid is a preference: an engine that failed the request before is better than none.
 		a.Avoid = nil
-		best, v = s.place(now, a)
+		best, v = s.findPair(now, a)
 	}
-	head.noteLatestStart(best.compute)
+	head.recordLatestStart(best.compute)
 	switch v {
 	case verdictPlaced:
 		q.pop()
-		q.virtual += s.cost(best, a) / s.weight(best, a)
+		q.virtualTime += s.slotSeconds(best, a) / s.worthPerSlotSecond(best, a)
 		s.grant(now, a, best)
 		return true
-	case verdictHopeless:
+	case verdictMissesDeadline:
 		q.pop()
 		s.refuse(now, a, "the first token can't be met")
 		return true
-	case verdictNever:
+	case verdictTooLarge:
 		q.pop()
-		s.act(turmericwall.Refusal{Attempt: a.Attempt, Reason: "no engine can hold prompt and answer", Never: true})
+		s.emit(turmericwall.Refusal{Attempt: a.Attempt, Reason: "no engine can hold prompt and answer", Never: true})
 		return true
 	default:
 		return false
 	}
 }
 
-// giveUp refuses at once what can no longer make its deadline, though it still waits for a place.
-func (s *Scheduler) giveUp(now time.Time) {
+// refuseExpired refuses queued arrivals whose give-up deadline has passed, or whose first token would be late even if a
+// slot became free now.
+func (s *Scheduler) refuseExpired(now time.Time) {
 	for _, q := range s.queues {
-		for _, w := range q.remove(func(w *entry) bool { return overdue(now, w) || tooLate(now, w) }) {
+		for _, w := range q.remove(func(w *entry) bool { return pastGiveUpDeadline(now, w) || pastLatestStart(now, w) }) {
 			s.refuse(now, w.arrival, "no decode place became free in time")
 		}
 	}
 }
 
-func overdue(now time.Time, w *entry) bool {
+func pastGiveUpDeadline(now time.Time, w *entry) bool {
 	return !w.arrival.GiveUpDeadline.IsZero() && now.After(w.arrival.GiveUpDeadline)
 }
 
-// tooLate tells that even an immediate place would miss the first token.
-func tooLate(now time.Time, w *entry) bool {
+// pastLatestStart reports whether the first token would be late even if the prefill started now.
+func pastLatestStart(now time.Time, w *entry) bool {
 	return !w.latestStart.IsZero() && now.After(w.latestStart)
 }
 
 func (s *Scheduler) grant(now time.Time, a turmericwall.Arrival, p pair) {
-	s.turn++
-	decodeTime := p.decode.step(p.decode.report.Slots) * time.Duration(a.MaxTokens)
-	p.prefill.placePrefill(now, p.compute, a.Urgent)
-	p.prefill.remember(a.Blocks)
-	s.zones.between(p.prefill, p.decode).book(p.firstToken)
-	reserved := p.firstToken.Add(reservationSlack)
-	s.occupy(p.decode, &occupant{
-		attempt: a.Attempt,
-		pieces:  piecesOf(a.PromptTokens + a.MaxTokens),
-		end:     p.firstToken.Add(decodeTime),
-		expires: reserved,
-		waited:  !a.Urgent,
+	s.scanOffset++
+	decodeTime := p.decode.stepTime(p.decode.report.Slots) * time.Duration(a.MaxTokens)
+	p.prefill.queuePrefill(now, p.compute, a.Urgent)
+	p.prefill.addCachedBlocks(a.Blocks)
+	s.zones.between(p.prefill, p.decode).reserveUntil(p.firstTokenAt)
+	reservedUntil := p.firstTokenAt.Add(reservationSlack)
+	s.allocate(p.decode, &allocation{
+		attempt:       a.Attempt,
+		pieces:        piecesOf(a.PromptTokens + a.MaxTokens),
+		expectedEnd:   p.firstTokenAt.Add(decodeTime),
+		reservedUntil: reservedUntil,
+		deferrable:    !a.Urgent,
 	})
-	s.act(turmericwall.Grant{
+	s.emit(turmericwall.Grant{
 		Attempt:       a.Attempt,
 		Prefill:       p.prefill.vm,
 		Decode:        p.decode.vm,
-		ReservedUntil: reserved,
-		CachedTokens:  p.cached,
-		FirstToken:    p.firstToken,
-		Reason:        reason(p),
+		ReservedUntil: reservedUntil,
+		CachedTokens:  p.cachedTokens,
+		FirstToken:    p.firstTokenAt,
+		Reason:        grantReason(p),
 		Considered:    p.considered,
 	})
 }
 
-func reason(p pair) string {
-	if p.cached > 0 {
+func grantReason(p pair) string {
+	if p.cachedTokens > 0 {
 		return "prefix held, done first; decode least loaded"
 	}
 	return "done first; decode least loaded"
 }
 
-// refuse answers at once, with the time at which the backlog is expected to leave room.
-func (s *Scheduler) refuse(now time.Time, a turmericwall.Arrival, why string) {
-	s.act(turmericwall.Refusal{Attempt: a.Attempt, Reason: why, RetryAt: now.Add(s.retryAfter(now, a))})
+// refuse answers the arrival at once, with the time at which the backlog is expected to be cleared.
+func (s *Scheduler) refuse(now time.Time, a turmericwall.Arrival, reason string) {
+	s.emit(turmericwall.Refusal{Attempt: a.Attempt, Reason: reason, RetryAt: now.Add(s.retryAfter(now, a))})
 }
 
-// retryAfter is the time in which as many places become free as arrivals wait, and one more: each of
-// the pool's places turns over once in the mean time that an attempt holds it.
+// retryAfter returns the time in which the pool releases one slot for each waiting arrival and one more. It assumes
+// that each slot is released once per mean slot time of an attempt.
 func (s *Scheduler) retryAfter(now time.Time, a turmericwall.Arrival) time.Duration {
-	places, hold := 0, time.Duration(0)
+	slots, slotTime := 0, time.Duration(0)
 	for _, e := range s.decodes {
 		if e.usable(now, a.Model) {
-			places += e.report.Slots
-			hold = e.step(e.report.Slots) * time.Duration(a.MaxTokens)
+			slots += e.report.Slots
+			slotTime = e.stepTime(e.report.Slots) * time.Duration(a.MaxTokens)
 		}
 	}
-	if places == 0 {
-		return silentAfter
+	if slots == 0 {
+		return reportTimeout
 	}
-	return min(maxRetry, max(minRetry, hold*time.Duration(s.Waiting()+1)/time.Duration(places)))
+	return min(maxRetryAfter, max(minRetryAfter, slotTime*time.Duration(s.Waiting()+1)/time.Duration(slots)))
 }
 
-// cost is the slot time that an attempt takes, in seconds.
-func (s *Scheduler) cost(p pair, a turmericwall.Arrival) float64 {
-	step := p.decode.step(p.decode.report.Slots).Seconds()
+// slotSeconds returns the time that an attempt occupies engines, in seconds: its decode slot time and its prefill time.
+func (s *Scheduler) slotSeconds(p pair, a turmericwall.Arrival) float64 {
+	step := p.decode.stepTime(p.decode.report.Slots).Seconds()
 	return step*float64(a.MaxTokens) + p.compute.Seconds()
 }
 
-// weight is the worth of a second of slot time.
-func (s *Scheduler) weight(p pair, a turmericwall.Arrival) float64 {
-	return max(a.Worth, minWorth) / s.cost(p, a)
+// worthPerSlotSecond returns the worth of the attempt per second of its slot time.
+func (s *Scheduler) worthPerSlotSecond(p pair, a turmericwall.Arrival) float64 {
+	return max(a.Worth, minWorth) / s.slotSeconds(p, a)
 }
 
+// minWorth keeps the virtual time finite for work without a worth.
 const minWorth = 0.001
--- a/internal/placement/twscheduler/engine.go
+++ b/internal/placement/twscheduler/engine.go
@@ -8,100 +8,108 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Bounds and times of the view of one engine.
+// Limits and timeouts of the view of one engine.
 const (
-	// pieceTokens is the unit in which engine memory is handed out.
+	// pieceTokens is the unit of engine memory allocation, in tokens.
 	pieceTokens = 4096
-	// prefixBlocks bounds the view of one engine's prefix cache.
-	prefixBlocks = 8192
-	maxPlaced    = 256
-	// silentAfter is how long an engine without a report counts as reachable.
-	silentAfter = 3 * time.Second
-	// doubtAfterGap is how long a gap in the cache events makes the prefix view doubtful.
-	doubtAfterGap = 10 * time.Second
-	doubtfulShare = 0.5
-	firstEjection = time.Second
-	maxEjection   = 30 * time.Second
+	// maxPrefixBlocks bounds the view of one engine's prefix cache, in blocks.
+	maxPrefixBlocks       = 8192
+	maxUnreportedPrefills = 256
+	// reportTimeout is how long an engine stays usable after its last report.
+	reportTimeout = 3 * time.Second
+	// cacheDiscountDuration is how long the estimate of cached tokens is discounted after a gap in the cache events.
+	cacheDiscountDuration = 10 * time.Second
+	// cacheDiscountFactor scales the estimate of cached tokens during that time.
+	cacheDiscountFactor = 0.5
+	initialEjection     = time.Second
+	maxEjection         = 30 * time.Second
 )
 
-// engine is the view of one upstream engine.
+// engine is the scheduler's view of one upstream engine.
 type engine struct {
-	vm             turmericwall.VM
-	zone           int
-	listed         bool
-	open           bool
-	stepBase       time.Duration
-	stepPerSlot    time.Duration
-	nanosPerToken  float64
-	report         turmericwall.Report
-	reportTaken    time.Time
-	silentDeadline time.Time
-
-	occupants map[string]*occupant
-	used      int
-	// deferrable counts the occupants that could have waited.
-	deferrable int
-	pieces     int
-	nextEnd    time.Time
-
-	placed     []placedPrefill
-	urgentBusy time.Time
-	allBusy    time.Time
-
-	prefix       *simplelru.LRU[uint64, struct{}]
-	sequence     uint64
-	doubtfulTill time.Time
-
-	failures     int
-	failedAt     time.Time
-	ejectedUntil time.Time
+	vm turmericwall.VM
+	// zoneIndex is the index of the engine's zone in zoneLinks.
+	zoneIndex int
+	listed    bool
+	// accepting is set while the engine is listed, live and not draining.
+	accepting            bool
+	stepBase             time.Duration
+	stepPerSlot          time.Duration
+	prefillNanosPerToken float64
+	report               turmericwall.Report
+	reportTakenAt        time.Time
+	reportDeadline       time.Time
+
+	allocations map[string]*allocation
+	usedSlots   int
+	// deferrableSlots counts the slots held by deferrable work.
+	deferrableSlots int
+	usedPieces      int
+	// nextReleaseAt is the earliest expected end of an allocation.
+	nextReleaseAt time.Time
+
+	// unreportedPrefills were placed after the last report was taken.
+	unreportedPrefills []unreportedPrefill
+	// urgentBusyUntil is when the urgent prefill queue is expected to be empty, allBusyUntil when the whole queue is.
+	urgentBusyUntil time.Time
+	allBusyUntil    time.Time
+
+	prefixCache *simplelru.LRU[uint64, struct{}]
+	// lastSequence is the number of the last cache event applied.
+	lastSequence uint64
+	// cacheDiscountUntil is when the prefix cache view counts fully again after a gap in the events.
+	cacheDiscountUntil time.Time
+
+	consecutiveFailures int
+	failedAt            time.Time
+	ejectedUntil        time.Time
 }
 
-// occupant is one attempt that holds, or is about to hold, engine memory.
-type occupant struct {
+// allocation is the engine memory and the slot that one attempt holds or has reserved.
+type allocation struct {
 	attempt string
 	pieces  int
-	// end is when the attempt is expected to have finished.
-	end time.Time
-	// expires ends a reservation that the engine never reported.
-	expires time.Time
-	// reported is set once the engine listed the attempt.
+	// expectedEnd is when the attempt is expected to finish.
+	expectedEnd time.Time
+	// reservedUntil is when the reservation expires unless the engine reports the attempt.
+	reservedUntil time.Time
+	// reported is set once the engine has listed the attempt.
 	reported bool
-	// foreign occupants were not granted here; they are looked into after sweepAt.
-	foreign bool
-	sweepAt time.Time
-	// waited occupants are of work that may wait.
-	waited bool
+	// foreign is set for attempts that this scheduler did not grant; their owner is queried from nextSweepAt on.
+	foreign     bool
+	nextSweepAt time.Time
+	// deferrable is set for attempts of deferrable work.
+	deferrable bool
 }
 
-// placedPrefill is prefill work that the last report can't yet show.
-type placedPrefill struct {
-	at     time.Time
-	done   time.Time
-	urgent bool
+// unreportedPrefill is prefill work that the last report does not include yet.
+type unreportedPrefill struct {
+	placedAt time.Time
+	doneAt   time.Time
+	urgent   bool
 }
 
 func newEngine(vm turmericwall.VM) *engine {
-	prefix, _ := simplelru.NewLRU[uint64, struct{}](prefixBlocks, nil)
-	return &engine{vm: vm, occupants: make(map[string]*occupant), prefix: prefix}
+	prefix, _ := simplelru.NewLRU[uint64, struct{}](maxPrefixBlocks, nil)
+	return &engine{vm: vm, allocations: make(map[string]*allocation), prefixCache: prefix}
 }
 
-// usable tells whether the engine may get work for the model. It is asked for each engine in view at each
-// decision, so the cheap questions come first.
+// usable reports whether the engine may be given work for the model. It runs for each engine at each decision, so the
+// cheap checks come first.
 func (e *engine) usable(now time.Time, model string) bool {
-	return e.open && serves(e.report.Models, model) && now.Before(e.silentDeadline) && !e.ejected(now)
+	return e.accepting && serves(e.report.Models, model) && now.Before(e.reportDeadline) && !e.ejected(now)
 }
 
 func (e *engine) ejected(now time.Time) bool {
-	return e.failures > 0 && now.Before(e.ejectedUntil)
+	return e.consecutiveFailures > 0 && now.Before(e.ejectedUntil)
 }
 
-// refresh works out what decisions need from the list's and the report's last word.
+// refresh derives the values that decisions use from the engine's list entry and its last report.
 func (e *engine) refresh() {
-	e.open = e.listed && e.vm.State == turmericwall.VMLive && !e.report.Draining
+	e.accepting = e.listed && e.vm.State == turmericwall.VMLive && !e.report.Draining
 	e.stepBase = millis(e.report.StepMillis)
 	e.stepPerSlot = millis(e.report.StepPerSlotMillis)
-	e.nanosPerToken = float64(time.Second) / max(1, e.report.PrefillRate)
+	e.prefillNanosPerToken = float64(time.Second) / max(1, e.report.PrefillRate)
 }
 
 func serves(models []string, model string) bool {
@@ -113,154 +121,157 @@
 	return false
 }
 
-// slotLimit is how many attempts may decode together without missing the target between tokens.
+// slotLimit returns how many attempts may decode together within the target for the time between tokens, in
+// milliseconds; 0 sets no target.
 func (e *engine) slotLimit(tokenGapMillis float64) int {
 	if tokenGapMillis <= 0 || e.report.StepPerSlotMillis <= 0 {
 		return e.report.Slots
 	}
-	fits := int((tokenGapMillis - e.report.StepMillis) / e.report.StepPerSlotMillis)
-	return max(1, min(e.report.Slots, fits))
+	maxBatch := int((tokenGapMillis - e.report.StepMillis) / e.report.StepPerSlotMillis)
+	return max(1, min(e.report.Slots, maxBatch))
 }
 
-// step is the time between tokens when the batch holds so many attempts.
-func (e *engine) step(batch int) time.Duration {
+// stepTime returns the time between tokens for a batch of the given number of attempts.
+func (e *engine) stepTime(batch int) time.Duration {
 	return e.stepBase + e.stepPerSlot*time.Duration(batch)
 }
 
-func (e *engine) occupy(o *occupant) {
-	e.vacate(o.attempt)
-	e.occupants[o.attempt] = o
-	e.count(o, 1)
-	if e.nextEnd.IsZero() || o.end.Before(e.nextEnd) {
-		e.nextEnd = o.end
+func (e *engine) allocate(alloc *allocation) {
+	e.release(alloc.attempt)
+	e.allocations[alloc.attempt] = alloc
+	e.addUsage(alloc, 1)
+	if e.nextReleaseAt.IsZero() || alloc.expectedEnd.Before(e.nextReleaseAt) {
+		e.nextReleaseAt = alloc.expectedEnd
 	}
 }
 
-func (e *engine) vacate(attempt string) bool {
-	o, ok := e.occupants[attempt]
+func (e *engine) release(attempt string) bool {
+	alloc, ok := e.allocations[attempt]
 	if !ok {
 		return false
 	}
-	delete(e.occupants, attempt)
-	e.count(o, -1)
-	if !o.end.After(e.nextEnd) {
-		e.findNextEnd()
+	delete(e.allocations, attempt)
+	e.addUsage(alloc, -1)
+	if !alloc.expectedEnd.After(e.nextReleaseAt) {
+		e.updateNextRelease()
 	}
 	return true
 }
 
-func (e *engine) count(o *occupant, sign int) {
-	e.used += sign
-	e.pieces += sign * o.pieces
-	if o.waited {
-		e.deferrable += sign
+func (e *engine) addUsage(alloc *allocation, sign int) {
+	e.usedSlots += sign
+	e.usedPieces += sign * alloc.pieces
+	if alloc.deferrable {
+		e.deferrableSlots += sign
 	}
 }
 
-func (e *engine) findNextEnd() {
-	e.nextEnd = time.Time{}
-	for _, o := range e.occupants {
-		if e.nextEnd.IsZero() || o.end.Before(e.nextEnd) {
-			e.nextEnd = o.end
+func (e *engine) updateNextRelease() {
+	e.nextReleaseAt = time.Time{}
+	for _, alloc := range e.allocations {
+		if e.nextReleaseAt.IsZero() || alloc.expectedEnd.Before(e.nextReleaseAt) {
+			e.nextReleaseAt = alloc.expectedEnd
 		}
 	}
 }
 
-// prefillTime is the compute time of the prompt's uncached tokens.
+// prefillTime returns the compute time of the given number of uncached prompt tokens.
 func (e *engine) prefillTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) * e.nanosPerToken)
+	return time.Duration(float64(tokens) * e.prefillNanosPerToken)
 }
 
 func (e *engine) busyUntil(urgent bool) time.Time {
 	if urgent {
-		return e.urgentBusy
+		return e.urgentBusyUntil
 	}
-	return e.allBusy
+	return e.allBusyUntil
 }
 
-func (e *engine) placePrefill(now time.Time, compute time.Duration, urgent bool) {
-	e.allBusy = later(e.allBusy, now).Add(compute)
+func (e *engine) queuePrefill(now time.Time, compute time.Duration, urgent bool) {
+	e.allBusyUntil = later(e.allBusyUntil, now).Add(compute)
 	if urgent {
-		e.urgentBusy = later(e.urgentBusy, now).Add(compute)
+		e.urgentBusyUntil = later(e.urgentBusyUntil, now).Add(compute)
 	}
-	if len(e.placed) < maxPlaced {
-		e.placed = append(e.placed, placedPrefill{at: now, done: now.Add(compute), urgent: urgent})
+	if len(e.unreportedPrefills) < maxUnreportedPrefills {
+		e.unreportedPrefills = append(e.unreportedPrefills, unreportedPrefill{
+			placedAt: now, doneAt: now.Add(compute), urgent: urgent,
+		})
 	}
 }
 
-// rebase takes the queue from a report and adds what was placed since it was taken: a lagging report
-// alone would draw every request to the engine that was idle half a second ago.
-func (e *engine) rebase(taken time.Time) {
-	e.allBusy = taken.Add(e.prefillTime(e.report.QueuedTokens))
-	e.urgentBusy = taken.Add(e.prefillTime(e.report.UrgentTokens))
-	kept := e.placed[:0]
-	for _, p := range e.placed {
-		if p.at.Before(taken) {
+// rebuildQueue takes the prefill queue from the report and adds the prefills placed after the report was taken.
+// Without them a stale report would draw every request to the engine that was idle when it was taken.
+func (e *engine) rebuildQueue(takenAt time.Time) {
+	e.allBusyUntil = takenAt.Add(e.prefillTime(e.report.QueuedTokens))
+	e.urgentBusyUntil = takenAt.Add(e.prefillTime(e.report.UrgentTokens))
+	kept := e.unreportedPrefills[:0]
+	for _, p := range e.unreportedPrefills {
+		if p.placedAt.Before(takenAt) {
 			continue
 		}
 		kept = append(kept, p)
-		e.allBusy = later(e.allBusy, p.at).Add(p.done.Sub(p.at))
+		e.allBusyUntil = later(e.allBusyUntil, p.placedAt).Add(p.doneAt.Sub(p.placedAt))
 		if p.urgent {
-			e.urgentBusy = later(e.urgentBusy, p.at).Add(p.done.Sub(p.at))
+			e.urgentBusyUntil = later(e.urgentBusyUntil, p.placedAt).Add(p.doneAt.Sub(p.placedAt))
 		}
 	}
-	e.placed = kept
+	e.unreportedPrefills = kept
 }
 
-// cachedTokens estimates how much of the prompt the engine holds.
+// cachedTokens estimates how many tokens of the prompt are in the engine's prefix cache.
 func (e *engine) cachedTokens(now time.Time, blocks []uint64, blockTokens int) int {
 	matched := 0
 	for _, b := range blocks {
-		if !e.prefix.Contains(b) {
+		if !e.prefixCache.Contains(b) {
 			break
 		}
 		matched++
 	}
 	cached := matched * blockTokens
-	if now.Before(e.doubtfulTill) {
-		cached = int(float64(cached) * doubtfulShare)
+	if now.Before(e.cacheDiscountUntil) {
+		cached = int(float64(cached) * cacheDiscountFactor)
 	}
 	return cached
 }
 
-func (e *engine) remember(blocks []uint64) {
+func (e *engine) addCachedBlocks(blocks []uint64) {
 	for _, b := range blocks {
-		e.prefix.Add(b, struct{}{})
+		e.prefixCache.Add(b, struct{}{})
 	}
 }
 
-// learn takes cache events in. A gap in their numbers means that some evictions were missed: the view
-// becomes doubtful for a while, not empty.
-func (e *engine) learn(now time.Time, events turmericwall.CacheEvents) {
+// applyCacheEvents updates the prefix cache view. A gap in the sequence numbers means that evictions may have been
+// missed: the view is then discounted for a while instead of being dropped.
+func (e *engine) applyCacheEvents(now time.Time, events turmericwall.CacheEvents) {
 	for _, c := range events.Events {
-		if c.Sequence <= e.sequence {
+		if c.Sequence <= e.lastSequence {
 			continue
 		}
-		if e.sequence != 0 && c.Sequence != e.sequence+1 {
-			e.doubtfulTill = now.Add(doubtAfterGap)
+		if e.lastSequence != 0 && c.Sequence != e.lastSequence+1 {
+			e.cacheDiscountUntil = now.Add(cacheDiscountDuration)
 		}
-		e.sequence = c.Sequence
+		e.lastSequence = c.Sequence
 		if c.Removed {
-			e.prefix.Remove(c.Block)
+			e.prefixCache.Remove(c.Block)
 		} else {
-			e.prefix.Add(c.Block, struct{}{})
+			e.prefixCache.Add(c.Block, struct{}{})
 		}
 	}
 }
 
-// fail keeps work away for a time that doubles with each failure in a row.
-func (e *engine) fail(now time.Time) {
-	e.failures++
+// eject takes the engine out of use for a time that doubles with each consecutive failure.
+func (e *engine) eject(now time.Time) {
+	e.consecutiveFailures++
 	e.failedAt = now
-	span := min(maxEjection, firstEjection<<min(e.failures-1, 5))
-	e.ejectedUntil = now.Add(span)
+	ejection := min(maxEjection, initialEjection<<min(e.consecutiveFailures-1, 5))
+	e.ejectedUntil = now.Add(ejection)
 }
 
-// recover ends an ejection: the driver asks an ejected engine on a new connection, since an old one may
-// be silent for good while new ones work.
-func (e *engine) recover(taken time.Time) {
-	if e.failures > 0 && taken.After(e.failedAt) && taken.After(e.ejectedUntil) {
-		e.failures = 0
+// endEjection puts the engine back into use when a report was taken after the ejection expired. After a failed poll
+// the leader polls on a new connection, since the old one may stay unresponsive while new ones work.
+func (e *engine) endEjection(takenAt time.Time) {
+	if e.consecutiveFailures > 0 && takenAt.After(e.failedAt) && takenAt.After(e.ejectedUntil) {
+		e.consecutiveFailures = 0
 	}
 }
 
--- a/internal/placement/twscheduler/link.go
+++ b/internal/placement/twscheduler/link.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// kvBytesPerToken is the KV cache of one prompt token: 24,000 GB/s over 100,000 requests/s of about
+// kvBytesPerToken is the size of the KV cache of one prompt token: 24,000 GB/s for 100,000 requests/s of about
 // 2,000 tokens each.
 const kvBytesPerToken = 120_000
 
-// link is the budget of the transfers between two zones.
+// link is the bandwidth between two zones and the time until which transfers already placed occupy it. A nil link is
+// within one zone or undeclared and costs nothing.
 type link struct {
 	bytesPerSecond float64
 	costMillis     float64
@@ -15,7 +16,8 @@
 
 type zonePair struct{ from, to string }
 
-// transferEnd is when a transfer that may start at the time would end.
+// transferEnd returns when a transfer of the tokens would end that starts at start, or once the link is free if that is
+// later.
 func (l *link) transferEnd(start time.Time, tokens int) time.Time {
 	if l == nil {
 		return start
@@ -31,42 +33,42 @@
 	return millis(l.costMillis)
 }
 
-func (l *link) book(end time.Time) {
+func (l *link) reserveUntil(end time.Time) {
 	if l != nil {
 		l.busyUntil = end
 	}
 }
 
-// zoneLinks finds the link between two engines by the numbers of their zones: a decision looks at one for
-// each decode engine in view.
+// zoneLinks finds the link between two engines by the indexes of their zones, because each decision reads one link for
+// each decode engine.
 type zoneLinks struct {
-	numbers map[string]int
-	links   [][]*link
-	reached []zoneArrival
+	indexes   map[string]int
+	links     [][]*link
+	transfers []zoneTransfer
 }
 
-// zoneArrival is when a transfer would reach a zone, and what that is worth in a decision.
-type zoneArrival struct {
-	after time.Duration
+// zoneTransfer is the delay until a transfer reaches a zone, and the zone's score: the delay plus the link's cost.
+type zoneTransfer struct {
+	delay time.Duration
 	score time.Duration
 }
 
-func newZoneLinks() *zoneLinks { return &zoneLinks{numbers: make(map[string]int)} }
+func newZoneLinks() *zoneLinks { return &zoneLinks{indexes: make(map[string]int)} }
 
-// rebuild numbers the zones of the engines.
+// rebuild assigns an index to the zone of each engine.
 func (z *zoneLinks) rebuild(engines []*engine, links map[zonePair]*link) {
-	clear(z.numbers)
+	clear(z.indexes)
 	var names []string
 	for _, e := range engines {
-		number, ok := z.numbers[e.vm.Zone]
+		index, ok := z.indexes[e.vm.Zone]
 		if !ok {
-			number = len(names)
-			z.numbers[e.vm.Zone] = number
+			index = len(names)
+			z.indexes[e.vm.Zone] = index
 			names = append(names, e.vm.Zone)
 		}
-		e.zone = number
+		e.zoneIndex = index
 	}
-	z.reached = make([]zoneArrival, len(names))
+	z.transfers = make([]zoneTransfer, len(names))
 	z.links = make([][]*link, len(names))
 	for i, from := range names {
 		z.links[i] = make([]*link, len(names))
@@ -76,13 +78,14 @@
 	}
 }
 
-func (z *zoneLinks) between(from, to *engine) *link { return z.links[from.zone][to.zone] }
+func (z *zoneLinks) between(from, to *engine) *link { return z.links[from.zoneIndex][to.zoneIndex] }
 
-// arrivals works out once for each zone, not for each engine, when a transfer would be there.
-func (z *zoneLinks) arrivals(now time.Time, from *engine, start time.Time, tokens int) []zoneArrival {
-	for zone, l := range z.links[from.zone] {
-		after := l.transferEnd(start, tokens).Sub(now)
-		z.reached[zone] = zoneArrival{after: after, score: after + l.cost()}
+// transfersFrom computes the transfer from one engine to every zone once per decision instead of once per engine.
+// The result is valid until the next call.
+func (z *zoneLinks) transfersFrom(now time.Time, from *engine, start time.Time, tokens int) []zoneTransfer {
+	for zone, l := range z.links[from.zoneIndex] {
+		delay := l.transferEnd(start, tokens).Sub(now)
+		z.transfers[zone] = zoneTransfer{delay: delay, score: delay + l.cost()}
 	}
-	return z.reached
+	return z.transfers
 }
--- a/internal/placement/twscheduler/place.go
+++ b/internal/placement/twscheduler/place.go
@@ -6,56 +6,57 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// verdict is what became of one attempt to place an entry.
+// verdict is the outcome of an attempt to place an arrival.
 type verdict int
 
 const (
 	verdictPlaced verdict = iota
-	// verdictWait means that no decode place is free now.
+	// verdictWait means that no decode slot is free now.
 	verdictWait
-	// verdictHopeless means that the deadline can't be met.
-	verdictHopeless
-	// verdictNever means that no engine is large enough.
-	verdictNever
+	// verdictMissesDeadline means that the first token would be late.
+	verdictMissesDeadline
+	// verdictTooLarge means that no engine has the memory for prompt and answer.
+	verdictTooLarge
 )
 
-// pair is the best placement found for an arrival.
+// pair is the best pair of a prefill and a decode engine found for an arrival.
 type pair struct {
-	prefill    *engine
-	decode     *engine
-	cached     int
-	compute    time.Duration
-	prefillEnd time.Time
-	firstToken time.Time
-	considered int
-	// soonest is when the earliest decode place is expected to be free, if none is free now.
-	soonest time.Time
+	prefill      *engine
+	decode       *engine
+	cachedTokens int
+	// compute is the prefill time of the uncached tokens.
+	compute      time.Duration
+	prefillEndAt time.Time
+	firstTokenAt time.Time
+	considered   int
+	// nextSlotAt is when the first decode slot is expected to be released, if none is free now.
+	nextSlotAt time.Time
 }
 
-// place looks for a pair: the prefill engine that is done first, then the decode engine that is the
-// least loaded among those with a free place and reachable in time.
-func (s *Scheduler) place(now time.Time, a turmericwall.Arrival) (pair, verdict) {
+// findPair selects the prefill engine that finishes first, then the decode engine with the best score among those with
+// a free slot.
+func (s *Scheduler) findPair(now time.Time, a turmericwall.Arrival) (pair, verdict) {
 	if s.tooLarge(a) {
-		return pair{}, verdictNever
+		return pair{}, verdictTooLarge
 	}
 	best, ok := s.bestPrefill(now, a)
 	if !ok {
-		return best, s.unplaced(a)
+		return best, s.verdictWithoutEngine(a)
 	}
-	if !a.Urgent && !a.Resumed && !s.room(now, best) {
+	if !a.Urgent && !a.Resumed && !s.admitsDeferrable(now, best) {
 		return best, verdictWait
 	}
 	if !s.bestDecode(now, a, &best) {
-		return best, s.waitOrNot(now, a, best)
+		return best, s.enqueueOrRefuse(now, a, best)
 	}
-	if misses(a, best.firstToken) {
-		return best, verdictHopeless
+	if missesDeadline(a, best.firstTokenAt) {
+		return best, verdictMissesDeadline
 	}
 	return best, verdictPlaced
 }
 
-// tooLarge tells that no decode engine of the model has the memory, even when it is empty: such an arrival
-// would wait for ever.
+// tooLarge reports whether no decode engine of the model has the memory for the arrival even when empty; it would
+// otherwise wait forever.
 func (s *Scheduler) tooLarge(a turmericwall.Arrival) bool {
 	pieces, known := piecesOf(a.PromptTokens+a.MaxTokens), false
 	for _, e := range s.decodes {
@@ -70,46 +71,48 @@
 	return known
 }
 
-// unplaced decides on an arrival for which no engine is usable. An engine that was just listed and gave
-// no report yet may be usable in a moment: a leader that starts must not refuse what it could serve.
-func (s *Scheduler) unplaced(a turmericwall.Arrival) verdict {
+// verdictWithoutEngine decides on an arrival for which no engine is usable. Deferrable and resumed ones wait; an urgent
+// one waits only while a listed engine has not reported yet: a new leader must not refuse what an engine could serve
+// after its first report.
+func (s *Scheduler) verdictWithoutEngine(a turmericwall.Arrival) verdict {
 	if !a.Urgent || a.Resumed {
 		return verdictWait
 	}
-	for _, e := range s.order {
-		if e.reportTaken.IsZero() {
+	for _, e := range s.sortedEngines {
+		if e.reportTakenAt.IsZero() {
 			return verdictWait
 		}
 	}
-	return verdictHopeless
+	return verdictMissesDeadline
 }
 
-// waitOrNot refuses at once an urgent arrival for which no place is expected in time.
-func (s *Scheduler) waitOrNot(now time.Time, a turmericwall.Arrival, best pair) verdict {
-	if best.soonest.IsZero() {
-		return s.unplaced(a)
+// enqueueOrRefuse decides on an arrival when no decode slot is free: it waits only if a slot is expected in time for
+// its first token.
+func (s *Scheduler) enqueueOrRefuse(now time.Time, a turmericwall.Arrival, best pair) verdict {
+	if best.nextSlotAt.IsZero() {
+		return s.verdictWithoutEngine(a)
 	}
-	wait := max(0, best.soonest.Sub(now))
-	if misses(a, best.prefillEnd.Add(wait)) {
-		return verdictHopeless
+	wait := max(0, best.nextSlotAt.Sub(now))
+	if missesDeadline(a, best.prefillEndAt.Add(wait)) {
+		return verdictMissesDeadline
 	}
 	return verdictWait
 }
 
-func misses(a turmericwall.Arrival, firstToken time.Time) bool {
-	return !a.Resumed && !a.FirstTokenDeadline.IsZero() && firstToken.After(a.FirstTokenDeadline)
+func missesDeadline(a turmericwall.Arrival, firstTokenAt time.Time) bool {
+	return !a.Resumed && !a.FirstTokenDeadline.IsZero() && firstTokenAt.After(a.FirstTokenDeadline)
 }
 
-// bestPrefill takes the engine that is done first: one that holds the prefix is preferred only while its
-// queue costs less than the prefix saves.
+// bestPrefill selects the prefill engine that finishes first. An engine with a cached prefix is therefore preferred
+// only while its queue costs less time than the prefix saves.
 func (s *Scheduler) bestPrefill(now time.Time, a turmericwall.Arrival) (pair, bool) {
-	if held, ok := s.engines[a.Prefilled]; ok {
-		return pair{prefill: held, cached: a.PromptTokens, prefillEnd: now, considered: 1}, true
+	if exporter, ok := s.engines[a.Prefilled]; ok {
+		return pair{prefill: exporter, cachedTokens: a.PromptTokens, prefillEndAt: now, considered: 1}, true
 	}
 	var best pair
 	var bestEnd time.Duration
 	for i := range s.prefills {
-		e := s.prefills[(i+s.turn)%len(s.prefills)]
+		e := s.prefills[(i+s.scanOffset)%len(s.prefills)]
 		if !e.usable(now, a.Model) || avoided(a, e) {
 			continue
 		}
@@ -118,69 +121,70 @@
 		compute := e.prefillTime(a.PromptTokens - cached)
 		end := max(0, e.busyUntil(a.Urgent).Sub(now)) + compute
 		if best.prefill == nil || end < bestEnd {
-			best.prefill, best.cached, best.compute, bestEnd = e, cached, compute, end
+			best.prefill, best.cachedTokens, best.compute, bestEnd = e, cached, compute, end
 		}
 	}
-	best.prefillEnd = now.Add(bestEnd)
+	best.prefillEndAt = now.Add(bestEnd)
 	return best, best.prefill != nil
 }
 
-// bestDecode fills in the decode engine; it returns false when no place is free.
+// bestDecode sets the decode engine of the pair; it returns false when no slot is free.
 func (s *Scheduler) bestDecode(now time.Time, a turmericwall.Arrival, best *pair) bool {
 	pieces := piecesOf(a.PromptTokens + a.MaxTokens)
-	arrivals := s.zones.arrivals(now, best.prefill, best.prefillEnd, a.PromptTokens)
+	transfers := s.zones.transfersFrom(now, best.prefill, best.prefillEndAt, a.PromptTokens)
 	var bestScore time.Duration
 	for i := range s.decodes {
-		e := s.decodes[(i+s.turn)%len(s.decodes)]
+		e := s.decodes[(i+s.scanOffset)%len(s.decodes)]
 		if !e.usable(now, a.Model) || avoided(a, e) {
 			continue
 		}
 		best.considered++
-		if !e.hasPlace(a.TokenGapMillis, pieces) {
-			best.soonest = earlier(best.soonest, e.nextEnd)
+		if !e.hasCapacity(a.TokenGapMillis, pieces) {
+			best.nextSlotAt = earlier(best.nextSlotAt, e.nextReleaseAt)
 			continue
 		}
-		step := e.step(e.used + 1)
-		score := arrivals[e.zone].score + step*decodeWeight
+		step := e.stepTime(e.usedSlots + 1)
+		score := transfers[e.zoneIndex].score + step*stepWeight
 		if best.decode == nil || score < bestScore {
 			best.decode, bestScore = e, score
-			best.firstToken = now.Add(arrivals[e.zone].after + step)
+			best.firstTokenAt = now.Add(transfers[e.zoneIndex].delay + step)
 		}
 	}
 	return best.decode != nil
 }
 
-// decodeWeight weighs a slower step against a slower first token: each token pays the step.
-const decodeWeight = 4
+// stepWeight weighs a slower decode step against a later first token: every token of the answer pays for the step.
+const stepWeight = 4
 
-func (e *engine) hasPlace(tokenGapMillis float64, pieces int) bool {
-	return e.used < e.slotLimit(tokenGapMillis) && e.pieces+pieces <= e.report.Pieces
+func (e *engine) hasCapacity(tokenGapMillis float64, pieces int) bool {
+	return e.usedSlots < e.slotLimit(tokenGapMillis) && e.usedPieces+pieces <= e.report.Pieces
 }
 
-// room tells whether work that may wait leaves enough to urgent work: it gives way before its prefill
-// starts, since stopping it afterwards would throw the prefill away. It holds its place for seconds, so
-// what counts is not only the places that are free now, but those that urgent work is about to need.
-func (s *Scheduler) room(now time.Time, best pair) bool {
-	if best.prefill.busyUntil(false).Sub(now) > deferrableQueue {
+// admitsDeferrable reports whether deferrable work may start without taking slots that urgent work needs. The check
+// comes before the prefill, because stopping the work later would waste the prefill. Deferrable work holds its slot for
+// seconds, so the expected demand of urgent work counts besides the slots in use.
+func (s *Scheduler) admitsDeferrable(now time.Time, best pair) bool {
+	if best.prefill.busyUntil(false).Sub(now) > maxDeferrableBacklog {
 		return false
 	}
 	all, urgent, deferrable := 0, 0, 0
 	for _, e := range s.decodes {
-		if now.Before(e.silentDeadline) {
+		if now.Before(e.reportDeadline) {
 			all += e.report.Slots
-			deferrable += e.deferrable
-			urgent += e.used - e.deferrable
+			deferrable += e.deferrableSlots
+			urgent += e.usedSlots - e.deferrableSlots
 		}
 	}
-	needed := max(float64(urgent), s.urgent.slots(now))
-	return needed+float64(deferrable) < (1-deferrableHeadroom)*float64(all)
+	needed := max(float64(urgent), s.urgentDemand.slots(now))
+	return needed+float64(deferrable) < (1-urgentHeadroomShare)*float64(all)
 }
 
-// hold is how long an attempt is expected to keep a decode place.
-func (s *Scheduler) hold(tokens int) time.Duration {
+// expectedSlotTime returns how long an attempt with the given number of answer tokens is expected to hold a decode
+// slot.
+func (s *Scheduler) expectedSlotTime(tokens int) time.Duration {
 	for _, e := range s.decodes {
 		if e.report.Slots > 0 {
-			return e.step(e.report.Slots) * time.Duration(tokens)
+			return e.stepTime(e.report.Slots) * time.Duration(tokens)
 		}
 	}
 	return 0
@@ -195,6 +199,7 @@
 	return false
 }
 
+// earlier returns the earlier of two times; a zero time counts as unset.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/internal/placement/twscheduler/queue.go
+++ b/internal/placement/twscheduler/queue.go
@@ -7,14 +7,14 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// maxQueue bounds the arrivals of one kind of work that wait at one leader.
-const maxQueue = 4096
+// maxQueuedArrivals bounds the arrivals of one kind of work that wait at one leader.
+const maxQueuedArrivals = 4096
 
-// class orders the kinds of work.
+// class is the priority class of an arrival; lower classes are placed first.
 type class int
 
 const (
-	// classResumed continues answers that have begun.
+	// classResumed holds attempts that continue a partial answer.
 	classResumed class = iota
 	classUrgent
 	classDeferrable
@@ -33,23 +33,23 @@
 
 // queue holds the waiting arrivals of one kind of work for one model.
 //
-// Kinds share decode places by weighted fair queueing: each kind's virtual time grows with the slot
-// time it took, divided by its worth for a second of slot time. The kind with the lowest virtual time
-// goes first, so that under overload most places go where they bring most, and no kind starves.
+// Kinds share decode slots by weighted fair queueing: a kind's virtual time grows with the slot time that it used,
+// divided by its worth per second of slot time. The queue with the lowest virtual time goes first, so that under
+// overload most slots go to the work with the highest worth, and no kind starves.
 type queue struct {
-	work    string
-	model   string
-	class   class
-	virtual float64
-	entries []*entry
-	// blocked queues have no place in this round.
+	work        string
+	model       string
+	class       class
+	virtualTime float64
+	entries     []*entry
+	// blocked is set for queues whose head has to wait in this round of dispatch.
 	blocked bool
 }
 
 // entry is one waiting arrival.
 type entry struct {
 	arrival turmericwall.Arrival
-	// latestStart is when the prefill must start for the first token to be in time; zero sets none.
+	// latestStart is when the prefill must start for the first token to be in time; zero if there is no such limit.
 	latestStart time.Time
 }
 
@@ -57,7 +57,7 @@
 
 func (q *queue) pop() { q.entries = q.entries[1:] }
 
-// push keeps the entries in the order of their deadlines; entries without one keep their order.
+// push keeps the entries sorted by deadline; entries with the same deadline keep their order.
 func (q *queue) push(e *entry) {
 	at := sort.Search(len(q.entries), func(i int) bool {
 		return q.entries[i].deadline().After(e.deadline())
@@ -91,8 +91,8 @@
 	return e.arrival.GiveUpDeadline
 }
 
-// noteLatestStart remembers how late the prefill may start, from the first look at the engines.
-func (e *entry) noteLatestStart(compute time.Duration) {
+// recordLatestStart sets the latest start from the prefill time of the first attempt to place the entry.
+func (e *entry) recordLatestStart(compute time.Duration) {
 	if e.latestStart.IsZero() && !e.arrival.FirstTokenDeadline.IsZero() && !e.arrival.Resumed {
 		e.latestStart = e.arrival.FirstTokenDeadline.Add(-compute)
 	}
--- a/internal/placement/twscheduler/scheduler.go
+++ b/internal/placement/twscheduler/scheduler.go
@@ -1,4 +1,6 @@
-// Package twscheduler decides where prefill and decode run for one service's engines.
+// Package twscheduler decides which prefill and which decode engine serve each attempt of one service. The service's
+// leader feeds it arrivals, engine reports and cache events; it returns grants, refusals and sweeps. It decides before
+// anything is sent to an engine.
 package twscheduler
 
 import (
@@ -10,89 +12,91 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Times of the decisions.
+// Limits and timeouts of the decisions.
 const (
-	// reservationSlack is how much later than expected an attempt may show up in the engine's report.
+	// reservationSlack is how much later than expected an attempt may appear in the engine's report.
 	reservationSlack = 3 * time.Second
-	// releasedFor is how long a finished attempt may still stand in lagging reports.
-	releasedFor = 2 * time.Second
-	// sweepGrace is above the reports' lag: an attempt just granted elsewhere is not looked into.
+	// releaseGrace is how long after its end an attempt may still be listed by the engine's reports.
+	releaseGrace = 2 * time.Second
+	// sweepGrace exceeds the age of reports, so that an attempt just granted elsewhere is not swept.
 	sweepGrace = 3 * time.Second
-	sweepAgain = 5 * time.Second
-	// maxEjectedShare caps how much of the pool failures may take out.
+	// sweepInterval is the time between two sweeps of the same attempt.
+	sweepInterval = 5 * time.Second
+	// maxEjectedShare is the largest share of the engines that may be ejected at a time.
 	maxEjectedShare = 1.0 / 3
-	// deferrableHeadroom is the share of decode places that only urgent work may take.
-	deferrableHeadroom = 0.15
-	// deferrableQueue is how long a prefill queue may be for work that may wait to join it.
-	deferrableQueue  = 100 * time.Millisecond
-	maxReleased      = 1 << 16
-	bytesPerMegabyte = 1e6
-	minRetry         = 250 * time.Millisecond
-	maxRetry         = 30 * time.Second
+	// urgentHeadroomShare is the share of decode slots that only urgent work may use.
+	urgentHeadroomShare = 0.15
+	// maxDeferrableBacklog is the longest prefill queue that deferrable work may join.
+	maxDeferrableBacklog = 100 * time.Millisecond
+	maxReleasedAttempts  = 1 << 16
+	bytesPerMegabyte     = 1e6
+	minRetryAfter        = 250 * time.Millisecond
+	maxRetryAfter        = 30 * time.Second
 )
 
-// Scheduler implements turmericwall.Policy: it reserves a decode place before it starts a prefill.
+// Scheduler implements turmericwall.Policy: it reserves a decode slot before a prefill starts.
 //
-// An exported prefill is evicted in under a second and a decode engine is nearly full at the peak; a
-// prefill started without a place is likely to be thrown away.
+// An exported prefill is evicted in under a second, and decode engines are nearly full at the peak. A prefill started
+// without a reserved slot is likely to be wasted.
 type Scheduler struct {
-	blockTokens int
-	links       map[zonePair]*link
-	zones       *zoneLinks
-	engines     map[string]*engine
-	order       []*engine
-	prefills    []*engine
-	decodes     []*engine
-	// turn is where the next decision starts to look, so that equal engines take turns.
-	turn int
-	// homes are the engines that count the attempt as an occupant.
-	homes    map[string][]*engine
-	queues   []*queue
-	resumed  *queue
-	released map[string]time.Time
-	urgent   demand
-	actions  []turmericwall.Action
+	blockTokens   int
+	links         map[zonePair]*link
+	zones         *zoneLinks
+	engines       map[string]*engine
+	sortedEngines []*engine
+	prefills      []*engine
+	decodes       []*engine
+	// scanOffset is where the scan of the engines starts; each grant advances it, so that equal engines take turns.
+	scanOffset int
+	// enginesByAttempt are the engines with an allocation for the attempt.
+	enginesByAttempt map[string][]*engine
+	queues           []*queue
+	resumed          *queue
+	// releasedUntil is the time until which an ended attempt in a report is ignored.
+	releasedUntil map[string]time.Time
+	urgentDemand  demand
+	actions       []turmericwall.Action
 }
 
-// Config is what a scheduler knows beforehand.
+// Config holds the settings of a scheduler.
 type Config struct {
 	// BlockTokens is the number of tokens in one block of an arrival's hashes.
 	BlockTokens int
 }
 
-// New returns a scheduler that knows no engines.
+// New returns a scheduler without engines.
 func New(config Config) *Scheduler {
 	return &Scheduler{
-		blockTokens: config.BlockTokens,
-		links:       make(map[zonePair]*link),
-		zones:       newZoneLinks(),
-		engines:     make(map[string]*engine),
-		homes:       make(map[string][]*engine),
-		released:    make(map[string]time.Time),
+		blockTokens:      config.BlockTokens,
+		links:            make(map[zonePair]*link),
+		zones:            newZoneLinks(),
+		engines:          make(map[string]*engine),
+		enginesByAttempt: make(map[string][]*engine),
+		releasedUntil:    make(map[string]time.Time),
 	}
 }
 
-// Step takes one event in and returns what follows from it. The actions are valid until the next step.
+// Step applies one event and returns the resulting actions, which are valid until the next call.
 func (s *Scheduler) Step(now time.Time, event turmericwall.Event) []turmericwall.Action {
 	s.actions = s.actions[:0]
 	switch e := event.(type) {
 	case turmericwall.Arrival:
-		s.arrive(now, e)
+		s.enqueue(now, e)
 	case turmericwall.Finished:
 		s.finish(now, e.Ending)
 	case turmericwall.Reported:
-		s.reported(now, e)
+		s.applyReport(now, e)
 	case turmericwall.Cached:
 		if known, ok := s.engines[e.Engine]; ok {
-			known.learn(now, e.Events)
+			known.applyCacheEvents(now, e.Events)
 		}
 	case turmericwall.Listed:
-		s.list(e.VMs)
-		s.link(e.Links)
+		s.updateEngines(e.VMs)
+		s.updateLinks(e.Links)
 	case turmericwall.OwnerLost:
-		s.ownerLost(now, e.Incarnation)
+		s.releaseOwner(now, e.Incarnation)
 	case turmericwall.Withdrawn:
-		s.withdraw(e.Attempt)
+		s.removeQueued(e.Attempt)
 	case turmericwall.Tick:
 		s.tick(now)
 	}
@@ -100,7 +104,7 @@
 	return s.actions
 }
 
-// Waiting counts the arrivals that wait.
+// Waiting returns the number of queued arrivals.
 func (s *Scheduler) Waiting() int {
 	waiting := 0
 	for _, q := range s.queues {
@@ -109,79 +113,80 @@
 	return waiting
 }
 
-func (s *Scheduler) act(a turmericwall.Action) { s.actions = append(s.actions, a) }
+func (s *Scheduler) emit(a turmericwall.Action) { s.actions = append(s.actions, a) }
 
-func (s *Scheduler) arrive(now time.Time, a turmericwall.Arrival) {
+func (s *Scheduler) enqueue(now time.Time, a turmericwall.Arrival) {
 	if a.Urgent {
-		s.urgent.arrive(now, s.hold(a.MaxTokens))
+		s.urgentDemand.add(now, s.expectedSlotTime(a.MaxTokens))
 	}
-	q := s.queueOf(a)
-	if len(q.entries) >= maxQueue {
+	q := s.queueFor(a)
+	if len(q.entries) >= maxQueuedArrivals {
 		s.refuse(now, a, "the queue is full")
 		return
 	}
 	if len(q.entries) == 0 {
-		q.virtual = max(q.virtual, s.lowestVirtual())
+		q.virtualTime = max(q.virtualTime, s.lowestVirtualTime())
 	}
 	q.push(&entry{arrival: a})
 }
 
-func (s *Scheduler) queueOf(a turmericwall.Arrival) *queue {
+func (s *Scheduler) queueFor(a turmericwall.Arrival) *queue {
 	c := classOf(a)
 	for _, q := range s.queues {
 		if q.class == c && q.model == a.Model && q.work == a.Work {
 			return q
 		}
 	}
-	q := &queue{work: a.Work, model: a.Model, class: c, virtual: s.lowestVirtual()}
+	q := &queue{work: a.Work, model: a.Model, class: c, virtualTime: s.lowestVirtualTime()}
 	s.queues = append(s.queues, q)
 	return q
 }
 
-func (s *Scheduler) lowestVirtual() float64 {
+func (s *Scheduler) lowestVirtualTime() float64 {
 	lowest, found := 0.0, false
 	for _, q := range s.queues {
-		if len(q.entries) > 0 && (!found || q.virtual < lowest) {
-			lowest, found = q.virtual, true
+		if len(q.entries) > 0 && (!found || q.virtualTime < lowest) {
+			lowest, found = q.virtualTime, true
 		}
 	}
 	return lowest
 }
 
 func (s *Scheduler) finish(now time.Time, ending turmericwall.Ending) {
-	s.withdraw(ending.Attempt)
-	for _, e := range s.homes[ending.Attempt] {
-		e.vacate(ending.Attempt)
+	s.removeQueued(ending.Attempt)
+	for _, e := range s.enginesByAttempt[ending.Attempt] {
+		e.release(ending.Attempt)
 	}
-	delete(s.homes, ending.Attempt)
-	if len(s.released) < maxReleased {
-		s.released[ending.Attempt] = now.Add(releasedFor)
+	delete(s.enginesByAttempt, ending.Attempt)
+	if len(s.releasedUntil) < maxReleasedAttempts {
+		s.releasedUntil[ending.Attempt] = now.Add(releaseGrace)
 	}
 	if failed, ok := s.engines[ending.FailedEngine]; ok && s.mayEject() {
-		failed.fail(now)
+		failed.eject(now)
 	}
 }
 
-// mayEject keeps failures of something shared, such as a link, from taking the whole pool out.
+// mayEject limits the number of ejected engines: when many fail, the cause is probably shared, such as a link, and
+// ejecting them would empty the pool.
 func (s *Scheduler) mayEject() bool {
 	ejected := 0
-	for _, e := range s.order {
-		if e.failures > 0 {
+	for _, e := range s.sortedEngines {
+		if e.consecutiveFailures > 0 {
 			ejected++
 		}
 	}
-	return float64(ejected+1) <= maxEjectedShare*float64(len(s.order))
+	return float64(ejected+1) <= maxEjectedShare*float64(len(s.sortedEngines))
 }
 
-func (s *Scheduler) list(vms []turmericwall.VM) {
-	for _, e := range s.order {
+func (s *Scheduler) updateEngines(vms []turmericwall.VM) {
+	for _, e := range s.sortedEngines {
 		e.listed = false
 	}
 	for _, vm := range vms {
 		e, ok := s.engines[vm.Name]
 		if ok && e.vm.Address != vm.Address {
-			// A replaced VM has nothing of what the one before it held.
-			s.empty(e)
+			// A replaced VM holds none of the attempts of its predecessor.
+			s.releaseAll(e)
 			ok = false
 		}
 		if !ok {
@@ -191,24 +196,24 @@
 		e.vm = vm
 		e.listed = true
 	}
-	s.order = s.order[:0]
+	s.sortedEngines = s.sortedEngines[:0]
 	for name, e := range s.engines {
 		if !e.listed {
-			s.empty(e)
+			s.releaseAll(e)
 			delete(s.engines, name)
 			continue
 		}
 		e.refresh()
-		s.order = append(s.order, e)
+		s.sortedEngines = append(s.sortedEngines, e)
 	}
-	sort.Slice(s.order, func(i, j int) bool { return s.order[i].vm.Name < s.order[j].vm.Name })
-	s.sortByRole()
+	sort.Slice(s.sortedEngines, func(i, j int) bool { return s.sortedEngines[i].vm.Name < s.sortedEngines[j].vm.Name })
+	s.splitByRole()
 }
 
-// sortByRole spares a decision the engines of the other role.
-func (s *Scheduler) sortByRole() {
+// splitByRole keeps an engine list for each role, so that a decision scans only the engines of the role it needs.
+func (s *Scheduler) splitByRole() {
 	s.prefills, s.decodes = s.prefills[:0], s.decodes[:0]
-	for _, e := range s.order {
+	for _, e := range s.sortedEngines {
 		switch e.report.Role {
 		case turmericwall.RolePrefill:
 			s.prefills = append(s.prefills, e)
@@ -218,8 +223,8 @@
 	}
 }
 
-// link takes the declared links in; a known one keeps its bookings.
-func (s *Scheduler) link(declared []turmericwall.Link) {
+// updateLinks applies the declared links; a link that was known keeps its transfers.
+func (s *Scheduler) updateLinks(declared []turmericwall.Link) {
 	known := s.links
 	s.links = make(map[zonePair]*link, 2*len(declared))
 	for _, d := range declared {
@@ -231,101 +236,106 @@
 		s.links[zonePair{d.From, d.To}] = l
 		s.links[zonePair{d.To, d.From}] = l
 	}
-	s.zones.rebuild(s.order, s.links)
+	s.zones.rebuild(s.sortedEngines, s.links)
 }
 
-func (s *Scheduler) reported(now time.Time, event turmericwall.Reported) {
+func (s *Scheduler) applyReport(now time.Time, event turmericwall.Reported) {
 	e, ok := s.engines[event.VM.Name]
-	taken := now.Add(-time.Duration(event.Report.AgeMillis) * time.Millisecond)
-	if !ok || taken.Before(e.reportTaken) {
+	takenAt := now.Add(-time.Duration(event.Report.AgeMillis) * time.Millisecond)
+	if !ok || takenAt.Before(e.reportTakenAt) {
 		return
 	}
 	changed := e.report.Role != event.Report.Role
-	e.report, e.reportTaken = event.Report, taken
+	e.report, e.reportTakenAt = event.Report, takenAt
 	e.refresh()
 	if changed {
-		s.sortByRole()
+		s.splitByRole()
 	}
-	e.silentDeadline = now.Add(silentAfter)
-	e.recover(taken)
-	e.rebase(taken)
-	s.reconcile(now, e, taken)
+	e.reportDeadline = now.Add(reportTimeout)
+	e.endEjection(takenAt)
+	e.rebuildQueue(takenAt)
+	s.reconcile(now, e, takenAt)
 }
 
-// reconcile holds the engine's list of attempts against the occupants known here.
-func (s *Scheduler) reconcile(now time.Time, e *engine, taken time.Time) {
+// reconcile compares the attempts in the engine's report with its allocations here.
+func (s *Scheduler) reconcile(now time.Time, e *engine, takenAt time.Time) {
 	listed := make(map[string]bool, len(e.report.Attempts))
 	for _, attempt := range e.report.Attempts {
 		listed[attempt] = true
-		s.sight(now, e, taken, attempt)
+		s.reconcileAttempt(now, e, takenAt, attempt)
 	}
-	for attempt, o := range e.occupants {
-		if o.reported && !listed[attempt] {
-			s.vacate(e, attempt)
+	for attempt, alloc := range e.allocations {
+		if alloc.reported && !listed[attempt] {
+			s.release(e, attempt)
 		}
 	}
-	s.expire(now, e)
+	s.releaseExpired(now, e)
 }
 
-func (s *Scheduler) occupy(e *engine, o *occupant) {
-	e.occupy(o)
-	s.homes[o.attempt] = append(s.homes[o.attempt], e)
+func (s *Scheduler) allocate(e *engine, alloc *allocation) {
+	e.allocate(alloc)
+	s.enginesByAttempt[alloc.attempt] = append(s.enginesByAttempt[alloc.attempt], e)
 }
 
-func (s *Scheduler) vacate(e *engine, attempt string) {
-	e.vacate(attempt)
-	homes := slices.DeleteFunc(s.homes[attempt], func(home *engine) bool { return home == e })
-	if len(homes) == 0 {
-		delete(s.homes, attempt)
+func (s *Scheduler) release(e *engine, attempt string) {
+	e.release(attempt)
+	remaining := slices.DeleteFunc(s.enginesByAttempt[attempt], func(candidate *engine) bool { return candidate == e })
+	if len(remaining) == 0 {
+		delete(s.enginesByAttempt, attempt)
 		return
 	}
-	s.homes[attempt] = homes
+	s.enginesByAttempt[attempt] = remaining
 }
 
-func (s *Scheduler) empty(e *engine) {
-	for attempt := range e.occupants {
-		s.vacate(e, attempt)
+func (s *Scheduler) releaseAll(e *engine) {
+	for attempt := range e.allocations {
+		s.release(e, attempt)
 	}
 }
 
-// expire frees reservations whose attempt never came.
-func (s *Scheduler) expire(now time.Time, e *engine) {
-	for attempt, o := range e.occupants {
-		if !o.reported && now.After(o.expires) {
-			s.vacate(e, attempt)
+// releaseExpired releases reservations of attempts that never reached the engine.
+func (s *Scheduler) releaseExpired(now time.Time, e *engine) {
+	for attempt, alloc := range e.allocations {
+		if !alloc.reported && now.After(alloc.reservedUntil) {
+			s.release(e, attempt)
 		}
 	}
 }
 
-func (s *Scheduler) sight(now time.Time, e *engine, taken time.Time, attempt string) {
-	if until, ok := s.released[attempt]; ok && taken.Before(until) {
+// reconcileAttempt records that the engine lists the attempt, and sweeps attempts that this scheduler did not grant.
+func (s *Scheduler) reconcileAttempt(now time.Time, e *engine, takenAt time.Time, attempt string) {
+	if until, ok := s.releasedUntil[attempt]; ok && takenAt.Before(until) {
 		return
 	}
-	o, ok := e.occupants[attempt]
+	alloc, ok := e.allocations[attempt]
 	if !ok {
-		o = &occupant{attempt: attempt, pieces: 1, foreign: true, sweepAt: now.Add(sweepGrace), end: now.Add(sweepGrace)}
-		s.occupy(e, o)
+		alloc = &allocation{
+			attempt: attempt, pieces: 1, foreign: true,
+			nextSweepAt: now.Add(sweepGrace), expectedEnd: now.Add(sweepGrace),
+		}
+		s.allocate(e, alloc)
 	}
-	o.reported = true
-	if o.foreign && !now.Before(o.sweepAt) {
-		o.sweepAt = now.Add(sweepAgain)
-		s.act(turmericwall.Sweep{VM: e.vm, Attempt: attempt})
+	alloc.reported = true
+	if alloc.foreign && !now.Before(alloc.nextSweepAt) {
+		alloc.nextSweepAt = now.Add(sweepInterval)
+		s.emit(turmericwall.Sweep{VM: e.vm, Attempt: attempt})
 	}
 }
 
-// ownerLost frees what the lost daemon reserved; what engines hold for it is looked into at once.
-func (s *Scheduler) ownerLost(now time.Time, incarnation string) {
+// releaseOwner releases what the lost daemon reserved and drops its queued arrivals; the attempts that engines hold for
+// it are swept at their next report.
+func (s *Scheduler) releaseOwner(now time.Time, incarnation string) {
 	prefix := incarnation + "/"
-	for _, e := range s.order {
-		for attempt, o := range e.occupants {
+	for _, e := range s.sortedEngines {
+		for attempt, alloc := range e.allocations {
 			if !strings.HasPrefix(attempt, prefix) {
 				continue
 			}
-			if !o.reported {
-				s.vacate(e, attempt)
+			if !alloc.reported {
+				s.release(e, attempt)
 				continue
 			}
-			o.foreign, o.sweepAt = true, now
+			alloc.foreign, alloc.nextSweepAt = true, now
 		}
 	}
 	owned := func(w *entry) bool { return strings.HasPrefix(w.arrival.Attempt, prefix) }
@@ -334,7 +344,7 @@
 	}
 }
 
-func (s *Scheduler) withdraw(attempt string) {
+func (s *Scheduler) removeQueued(attempt string) {
 	same := func(w *entry) bool { return w.arrival.Attempt == attempt }
 	for _, q := range s.queues {
 		q.remove(same)
@@ -342,12 +352,12 @@
 }
 
 func (s *Scheduler) tick(now time.Time) {
-	for _, e := range s.order {
-		s.expire(now, e)
+	for _, e := range s.sortedEngines {
+		s.releaseExpired(now, e)
 	}
-	for attempt, until := range s.released {
+	for attempt, until := range s.releasedUntil {
 		if now.After(until.Add(sweepGrace)) {
-			delete(s.released, attempt)
+			delete(s.releasedUntil, attempt)
 		}
 	}
 }
--- a/internal/placement/twscheduler/session_test.go
+++ b/internal/placement/twscheduler/session_test.go
@@ -17,8 +17,7 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twscheduler"
 )
 
-// line is one event of a session, at a time in milliseconds from its start. Lines that start with // say
-// what happens and why.
+// line is one event of a session, with its time in milliseconds since the start. Lines that start with // are comments.
 type line struct {
 	At       int64    `json:"at"`
 	Listed   []vm     `json:"listed"`
@@ -34,7 +33,7 @@
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
 	State string `json:"state"`
-	// Address is the name if it is left out.
+	// Address defaults to the name.
 	Address string `json:"address"`
 }
 
@@ -89,14 +88,14 @@
 }
 
 const (
-	model       = "m"
-	pieces      = 48
-	prefillRate = 10_000
-	stepMillis  = 25
-	perSlot     = 1.2
+	model             = "m"
+	pieces            = 48
+	prefillRate       = 10_000
+	stepMillis        = 25
+	stepPerSlotMillis = 1.2
 )
 
-func orModel(name string) string {
+func modelOrDefault(name string) string {
 	if name == "" {
 		return model
 	}
@@ -107,7 +106,9 @@
 	now := at(l.At)
 	switch {
 	case l.Listed != nil:
-		listed := turmericwall.Listed{Links: []turmericwall.Link{{From: "near", To: "far", MegabytesPerSecond: 1000, Cost: 20}}}
+		listed := turmericwall.Listed{Links: []turmericwall.Link{
+			{From: "near", To: "far", MegabytesPerSecond: 1000, Cost: 20},
+		}}
 		for _, v := range l.Listed {
 			state := turmericwall.VMLive
 			if v.State != "" {
@@ -125,13 +126,17 @@
 	case l.Cached != nil:
 		c := turmericwall.Cached{Engine: l.Cached.VM}
 		for i, b := range l.Cached.Blocks {
-			c.Events.Events = append(c.Events.Events, turmericwall.CacheEvent{Sequence: l.Cached.From + uint64(i), Block: b})
+			c.Events.Events = append(c.Events.Events, turmericwall.CacheEvent{
+				Sequence: l.Cached.From + uint64(i), Block: b,
+			})
 		}
 		return c
 	case l.Arrival != nil:
 		return l.Arrival.event(now)
 	case l.Finished != nil:
-		return turmericwall.Finished{Ending: turmericwall.Ending{Attempt: l.Finished.Attempt, FailedEngine: l.Finished.Failed}}
+		return turmericwall.Finished{Ending: turmericwall.Ending{
+			Attempt: l.Finished.Attempt, FailedEngine: l.Finished.Failed,
+		}}
 	case l.Lost != "":
 		return turmericwall.OwnerLost{Incarnation: l.Lost}
 	default:
@@ -143,36 +148,36 @@
 	return turmericwall.Reported{
 		VM: turmericwall.VM{Name: r.VM},
 		Report: turmericwall.Report{
-			Role: turmericwall.Role(r.Role), Models: []string{orModel(r.Model)}, AgeMillis: r.Age, Attempts: r.Attempts, Slots: r.Slots,
-			Pieces: pieces, QueuedTokens: r.Queued, UrgentTokens: r.Urgent, Draining: r.Draining, PrefillRate: prefillRate,
-			StepMillis: stepMillis, StepPerSlotMillis: perSlot,
+			Role: turmericwall.Role(r.Role), Models: []string{modelOrDefault(r.Model)}, AgeMillis: r.Age,
+			Attempts: r.Attempts, Slots: r.Slots, Pieces: pieces, QueuedTokens: r.Queued, UrgentTokens: r.Urgent,
+			Draining: r.Draining, PrefillRate: prefillRate, StepMillis: stepMillis, StepPerSlotMillis: stepPerSlotMillis,
 		},
 	}
 }
 
 func (a *arrival) event(now time.Time) turmericwall.Event {
 	return turmericwall.Arrival{
-		Attempt: a.Attempt, Model: orModel(a.Model), Work: a.Work, Urgent: a.Urgent, Worth: a.Worth, PromptTokens: a.Prompt, MaxTokens: a.Max,
-		Blocks: a.Blocks, FirstTokenDeadline: deadline(now, a.First), GiveUpDeadline: deadline(now, a.GiveUp),
+		Attempt: a.Attempt, Model: modelOrDefault(a.Model), Work: a.Work, Urgent: a.Urgent, Worth: a.Worth,
+		PromptTokens: a.Prompt, MaxTokens: a.Max, Blocks: a.Blocks, FirstTokenDeadline: deadline(now, a.First), GiveUpDeadline: deadline(now, a.GiveUp),
 		Resumed: a.Resumed, Avoid: a.Avoid, Prefilled: a.Prefilled, TokenGapMillis: 54,
 	}
 }
 
-// Each folder of testdata is a session; its actions are the golden file.
-func TestSessions(t *testing.T) {
-	folders, err := filepath.Glob("testdata/*/events.jsonl")
+// Each folder of testdata is a session of events; the golden file holds the expected actions.
+func TestActionsMatchGoldenSessions(t *testing.T) {
+	paths, err := filepath.Glob("testdata/*/events.jsonl")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	NewWithT(t).Expect(folders).NotTo(BeEmpty())
-	for _, path := range folders {
-		folder := filepath.Base(filepath.Dir(path))
-		t.Run(folder, func(t *testing.T) {
+	NewWithT(t).Expect(paths).NotTo(BeEmpty())
+	for _, path := range paths {
+		session := filepath.Base(filepath.Dir(path))
+		t.Run(session, func(t *testing.T) {
 			g := goldie.New(t, goldie.WithFixtureDir(filepath.Dir(path)), goldie.WithNameSuffix(".golden"))
-			g.Assert(t, "actions", play(t, path))
+			g.Assert(t, "actions", replay(t, path))
 		})
 	}
 }
 
-func play(t *testing.T, path string) []byte {
+func replay(t *testing.T, path string) []byte {
 	t.Helper()
 	file, err := os.Open(path)
 	if err != nil {
@@ -191,19 +196,21 @@
 			t.Fatalf("%s: %v", scanner.Text(), err)
 		}
 		for _, a := range s.Step(at(l.At), l.event()) {
-			write(&actions, l.At, a)
+			writeAction(&actions, l.At, a)
 		}
 	}
 	return actions.Bytes()
 }
 
-func write(out *bytes.Buffer, millis int64, action turmericwall.Action) {
+func writeAction(out *bytes.Buffer, millis int64, action turmericwall.Action) {
 	switch a := action.(type) {
 	case turmericwall.Grant:
-		_, _ = fmt.Fprintf(out, "%d grant %s: %s to %s, cached %d, first token at %d, reserved until %d (%s)\n", millis, a.Attempt,
-			a.Prefill.Name, a.Decode.Name, a.CachedTokens, a.FirstToken.Sub(start).Milliseconds(), a.ReservedUntil.Sub(start).Milliseconds(), a.Reason)
+		_, _ = fmt.Fprintf(out, "%d grant %s: %s to %s, cached %d, first token at %d, reserved until %d (%s)\n",
+			millis, a.Attempt, a.Prefill.Name, a.Decode.Name, a.CachedTokens, a.FirstToken.Sub(start).Milliseconds(),
+			a.ReservedUntil.Sub(start).Milliseconds(), a.Reason)
 	case turmericwall.Refusal:
-		_, _ = fmt.Fprintf(out, "%d refuse %s: %s, come back at %d\n", millis, a.Attempt, a.Reason, a.RetryAt.Sub(start).Milliseconds())
+		_, _ = fmt.Fprintf(out, "%d refuse %s: %s, come back at %d\n",
+			millis, a.Attempt, a.Reason, a.RetryAt.Sub(start).Milliseconds())
 	case turmericwall.Sweep:
 		_, _ = fmt.Fprintf(out, "%d sweep %s on %s\n", millis, a.Attempt, a.VM.Name)
 	}
