--- a/internal/placement/twrouter/router.go
+++ b/internal/placement/twrouter/router.go
@@ -1,4 +1,5 @@
-// Package twrouter sends arrivals to the leader of their service.
+// Package twrouter sends each arrival to the daemon that leads its service, and each ending to the daemon that granted
+// the attempt. It is the Placer that requests of this daemon call before anything is sent to an engine.
 package twrouter
 
 import (
@@ -15,97 +16,100 @@
 )
 
 const (
-	flushInterval = 5 * time.Millisecond
-	endingsBuffer = 4096
-	maxGranted    = 1 << 16
-	// avoidFor keeps arrivals away from a leader that gave no answer.
-	avoidFor = 2 * time.Second
+	flushInterval     = 5 * time.Millisecond
+	maxPendingEndings = 4096
+	maxRemoteGrants   = 1 << 16
+	// avoidDuration is how long arrivals are not sent to a leader that did not answer.
+	avoidDuration = 2 * time.Second
 )
 
 // Router implements turmericwall.Placer.
 type Router struct {
-	peers    turmericwall.Peers
-	local    turmericwall.Placer
-	alone    bool
-	clock    clockwork.Clock
-	recorder turmericwall.Recorder
-	endings  chan turmericwall.Ending
-
-	mu      sync.Mutex
-	granted map[string]string
-	avoided map[string]time.Time
+	peers     turmericwall.Peers
+	local     turmericwall.Placer
+	localOnly bool
+	clock     clockwork.Clock
+	recorder  turmericwall.Recorder
+	endings   chan turmericwall.Ending
+
+	mu sync.Mutex
+	// leaderByAttempt are the leaders that granted this daemon's running attempts.
+	leaderByAttempt map[string]string
+	avoidedUntil    map[string]time.Time
 }
 
-// Config names where decisions are made.
+// Config holds the router's dependencies.
 type Config struct {
 	Peers turmericwall.Peers
-	// Local decides at this daemon.
+	// Local decides without another daemon.
 	Local turmericwall.Placer
-	// Alone makes each daemon decide for itself, as the baselines do.
+	// Alone places all arrivals locally, as the baseline policies do.
 	Alone    bool
 	Clock    clockwork.Clock
 	Recorder turmericwall.Recorder
 }
 
-// New returns a router; endings go out while Run runs.
+// New returns a router. Endings are sent only while Run runs.
 func New(config Config) *Router {
 	return &Router{
-		peers:    config.Peers,
-		local:    config.Local,
-		alone:    config.Alone,
-		clock:    config.Clock,
-		recorder: config.Recorder,
-		endings:  make(chan turmericwall.Ending, endingsBuffer),
-		granted:  make(map[string]string),
-		avoided:  make(map[string]time.Time),
+		peers:           config.Peers,
+		local:           config.Local,
+		localOnly:       config.Alone,
+		clock:           config.Clock,
+		recorder:        config.Recorder,
+		endings:         make(chan turmericwall.Ending, maxPendingEndings),
+		leaderByAttempt: make(map[string]string),
+		avoidedUntil:    make(map[string]time.Time),
 	}
 }
 
-// LeaderOf returns the daemon that decides on the service's arrivals.
+// LeaderOf returns the daemon that decides on the service's arrivals; without a reachable leader that is this daemon.
 func (r *Router) LeaderOf(service string) string {
-	if r.alone {
+	if r.localOnly {
 		return r.peers.Self()
 	}
-	leaders := r.usable(r.peers.Leaders())
+	leaders := r.usableLeaders(r.peers.Leaders())
 	if len(leaders) == 0 {
 		return r.peers.Self()
 	}
 	return rendezvous.New(leaders, xxhash.Sum64String).Lookup(service)
 }
 
-// Place asks the service's leader, then the next one, and decides alone when none answers: a daemon cut
-// off from its peers serves on its own view, and the engines refuse what they can't hold.
+// Place asks the service's leader for a placement, then the next leader, and decides locally when neither answers. A
+// partitioned daemon thus serves from its own view of the engines, which refuse what they have no room for. A refusal
+// by a leader is final and returned as a *turmericwall.Problem.
 func (r *Router) Place(ctx context.Context, arrival turmericwall.Arrival) (turmericwall.Grant, error) {
-	for range maxLeaders {
+	for range maxLeaderAttempts {
 		leader := r.LeaderOf(arrival.Service)
 		if leader == r.peers.Self() {
 			break
 		}
 		grant, err := r.peers.Place(ctx, leader, arrival)
 		if err == nil {
-			r.note(arrival.Attempt, leader)
+			r.recordGrant(arrival.Attempt, leader)
 		}
-		if err == nil || decided(err) || ctx.Err() != nil {
+		if err == nil || isRefusal(err) || ctx.Err() != nil {
 			return grant, err
 		}
-		r.recorder.Record(turmericwall.EventLeaderUnreachable).Str("leader", leader).Str("attempt", arrival.Attempt).Err(err).Send()
-		r.avoid(leader)
+		r.recorder.Record(turmericwall.EventLeaderUnreachable).
+			Str("leader", leader).Str("attempt", arrival.Attempt).Err(err).Send()
+		r.avoidLeader(leader)
 	}
 	return r.local.Place(ctx, arrival)
 }
 
-const maxLeaders = 2
+const maxLeaderAttempts = 2
 
-// Finish sends the ending to the leader that granted the attempt.
+// Finish sends the ending to the leader that granted the attempt. It never blocks.
 func (r *Router) Finish(ending turmericwall.Ending) {
 	select {
 	case r.endings <- ending:
 	default:
-		// The reservation then ends with the engine's report that no longer lists the attempt.
+		// The reservation is then released by the first engine report that no longer lists the attempt.
 	}
 }
 
-// Run sends endings, grouped by leader, until ctx ends.
+// Run sends endings, batched by leader, until ctx is done.
 func (r *Router) Run(ctx context.Context) error {
 	for {
 		select {
@@ -113,12 +117,12 @@
 			return nil
 		case first := <-r.endings:
 			r.clock.Sleep(flushInterval)
-			r.flush(ctx, r.gather(first))
+			r.sendEndings(ctx, r.drainEndings(first))
 		}
 	}
 }
 
-func (r *Router) gather(first turmericwall.Ending) []turmericwall.Ending {
+func (r *Router) drainEndings(first turmericwall.Ending) []turmericwall.Ending {
 	endings := []turmericwall.Ending{first}
 	for {
 		select {
@@ -130,60 +134,60 @@
 	}
 }
 
-func (r *Router) flush(ctx context.Context, endings []turmericwall.Ending) {
+func (r *Router) sendEndings(ctx context.Context, endings []turmericwall.Ending) {
 	byLeader := make(map[string][]turmericwall.Ending)
 	for _, e := range endings {
-		leader, remote := r.forget(e.Attempt)
+		leader, remote := r.removeGrant(e.Attempt)
 		if !remote {
 			r.local.Finish(e)
 			continue
 		}
 		byLeader[leader] = append(byLeader[leader], e)
 	}
-	for leader, group := range byLeader {
-		_ = r.peers.Finish(ctx, leader, group)
+	for leader, batch := range byLeader {
+		_ = r.peers.Finish(ctx, leader, batch)
 	}
 }
 
-func (r *Router) note(attempt, leader string) {
+func (r *Router) recordGrant(attempt, leader string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.granted) < maxGranted {
-		r.granted[attempt] = leader
+	if len(r.leaderByAttempt) < maxRemoteGrants {
+		r.leaderByAttempt[attempt] = leader
 	}
 }
 
-func (r *Router) forget(attempt string) (string, bool) {
+func (r *Router) removeGrant(attempt string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	leader, ok := r.granted[attempt]
-	delete(r.granted, attempt)
+	leader, ok := r.leaderByAttempt[attempt]
+	delete(r.leaderByAttempt, attempt)
 	return leader, ok
 }
 
-func (r *Router) avoid(leader string) {
+func (r *Router) avoidLeader(leader string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.avoided[leader] = r.clock.Now().Add(avoidFor)
+	r.avoidedUntil[leader] = r.clock.Now().Add(avoidDuration)
 }
 
-func (r *Router) usable(leaders []string) []string {
+func (r *Router) usableLeaders(leaders []string) []string {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	usable := leaders[:0:0]
-	for _, k := range leaders {
-		if until, ok := r.avoided[k]; ok && now.Before(until) {
+	for _, leader := range leaders {
+		if until, ok := r.avoidedUntil[leader]; ok && now.Before(until) {
 			continue
 		}
-		delete(r.avoided, k)
-		usable = append(usable, k)
+		delete(r.avoidedUntil, leader)
+		usable = append(usable, leader)
 	}
 	return usable
 }
 
-// decided tells a leader's refusal from a leader that gave no answer.
-func decided(err error) bool {
+// isRefusal reports whether the leader refused the arrival, as opposed to not answering.
+func isRefusal(err error) bool {
 	var problem *turmericwall.Problem
 	return errors.As(err, &problem)
 }
