--- a/internal/placement/twbaseline/baseline.go
+++ b/internal/placement/twbaseline/baseline.go
@@ -1,4 +1,5 @@
-// Package twbaseline holds the simple placement policies that the shipped one is measured against.
+// Package twbaseline holds simple placement policies: round robin, least loaded and prefix affinity. They decide in place
+// of twscheduler's policy when the settings name one of them, and serve to compare it with.
 package twbaseline
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Rules of the baselines.
+// Names of the baselines in the settings.
 const (
 	RoundRobin     = "roundRobin"
 	LeastLoaded    = "leastLoaded"
@@ -19,46 +20,46 @@
 )
 
 const (
-	silentAfter  = 3 * time.Second
-	ejectedFor   = 2 * time.Second
-	retryAfter   = time.Second
-	prefixBlocks = 8192
-	// affinityOverload is how much more loaded than the mean an engine may be and still get its prefix's work.
-	affinityOverload = 1.5
-	// fullFactor is how many times its slots an engine may hold, in slots and queue, before work is refused.
-	fullFactor = 1.5
+	reportTimeout    = 3 * time.Second
+	ejectionDuration = 2 * time.Second
+	retryAfter       = time.Second
+	maxPrefixBlocks  = 8192
+	// maxAffinityLoadFactor is how many times the mean load an engine with a cached prefix may have to be chosen.
+	maxAffinityLoadFactor = 1.5
+	// maxSlotLoadFactor is how many attempts per slot an engine may have running and queued before it gets no more.
+	maxSlotLoadFactor = 1.5
 )
 
-// Baseline implements turmericwall.Policy without reservations: each daemon places alone, and the
-// engines queue what they can't run yet.
+// Baseline implements turmericwall.Policy without reservations: each daemon places its own arrivals, and the engines
+// queue what they can't run yet.
 type Baseline struct {
-	rule    string
-	engines map[string]*engine
-	order   []*engine
-	turn    int
+	rule            string
+	engines         map[string]*engine
+	sortedEngines   []*engine
+	roundRobinCount int
 }
 
 type engine struct {
 	vm             turmericwall.VM
 	report         turmericwall.Report
-	silentDeadline time.Time
+	reportDeadline time.Time
 	ejectedUntil   time.Time
-	// placed holds when this daemon gave the engine work that its report can't show yet.
-	placed []time.Time
-	prefix *simplelru.LRU[uint64, struct{}]
+	// unreportedPlacements are the times of this daemon's placements that the last report does not include yet.
+	unreportedPlacements []time.Time
+	prefixCache          *simplelru.LRU[uint64, struct{}]
 }
 
-// Config chooses the rule.
+// Config holds the settings of a baseline.
 type Config struct {
 	Rule string
 }
 
-// New returns a baseline that knows no engines.
+// New returns a baseline without engines.
 func New(config Config) *Baseline {
 	return &Baseline{rule: config.Rule, engines: make(map[string]*engine)}
 }
 
-// Step takes one event in and returns what follows from it.
+// Step applies one event and returns the resulting actions.
 func (b *Baseline) Step(now time.Time, event turmericwall.Event) []turmericwall.Action {
 	switch e := event.(type) {
 	case turmericwall.Arrival:
@@ -66,35 +67,35 @@
 	case turmericwall.Finished:
 		b.finish(now, e.Ending)
 	case turmericwall.Reported:
-		b.report(now, e)
+		b.applyReport(now, e)
 	case turmericwall.Cached:
-		b.learn(e)
+		b.applyCacheEvents(e)
 	case turmericwall.Listed:
-		b.list(e.VMs)
+		b.updateEngines(e.VMs)
 	}
 	return nil
 }
 
 func (b *Baseline) place(now time.Time, a turmericwall.Arrival) turmericwall.Action {
-	prefill := b.choose(now, turmericwall.RolePrefill, a)
-	decode := b.choose(now, turmericwall.RoleDecode, a)
+	prefill := b.selectEngine(now, turmericwall.RolePrefill, a)
+	decode := b.selectEngine(now, turmericwall.RoleDecode, a)
 	if prefill == nil || decode == nil {
 		return turmericwall.Refusal{Attempt: a.Attempt, Reason: "no engine with room", RetryAt: now.Add(retryAfter)}
 	}
-	prefill.placed = append(prefill.placed, now)
-	decode.placed = append(decode.placed, now)
-	for _, h := range a.Blocks {
-		prefill.prefix.Add(h, struct{}{})
+	prefill.unreportedPlacements = append(prefill.unreportedPlacements, now)
+	decode.unreportedPlacements = append(decode.unreportedPlacements, now)
+	for _, block := range a.Blocks {
+		prefill.prefixCache.Add(block, struct{}{})
 	}
 	return turmericwall.Grant{
 		Attempt: a.Attempt, Prefill: prefill.vm, Decode: decode.vm,
-		Reason: b.rule, Considered: len(b.order), ReservedUntil: now.Add(silentAfter),
+		Reason: b.rule, Considered: len(b.sortedEngines), ReservedUntil: now.Add(reportTimeout),
 	}
 }
 
-func (b *Baseline) choose(now time.Time, role turmericwall.Role, a turmericwall.Arrival) *engine {
+func (b *Baseline) selectEngine(now time.Time, role turmericwall.Role, a turmericwall.Arrival) *engine {
 	var usable []*engine
-	for _, e := range b.order {
+	for _, e := range b.sortedEngines {
 		if e.usable(now, role, a) {
 			usable = append(usable, e)
 		}
@@ -104,10 +105,10 @@
 	}
 	switch {
 	case b.rule == RoundRobin:
-		b.turn++
-		return usable[b.turn%len(usable)]
+		b.roundRobinCount++
+		return usable[b.roundRobinCount%len(usable)]
 	case b.rule == PrefixAffinity && role == turmericwall.RolePrefill:
-		return withPrefix(usable, a.Blocks)
+		return mostCachedPrefix(usable, a.Blocks)
 	default:
 		return leastLoaded(usable)
 	}
@@ -123,25 +124,26 @@
 	return best
 }
 
-// withPrefix takes the engine that holds most of the prefix, unless it is far more loaded than the mean.
-func withPrefix(engines []*engine, blocks []uint64) *engine {
+// mostCachedPrefix returns the engine with the most leading blocks cached, except one whose load is far above the mean.
+func mostCachedPrefix(engines []*engine, blocks []uint64) *engine {
 	mean := 0.0
 	for _, e := range engines {
 		mean += e.load() / float64(len(engines))
 	}
-	best, bestHeld := leastLoaded(engines), 0
+	best, bestCached := leastLoaded(engines), 0
 	for _, e := range engines {
-		held := e.held(blocks)
-		if held > bestHeld && e.load() <= affinityOverload*mean+1 {
-			best, bestHeld = e, held
+		cached := e.cachedBlocks(blocks)
+		if cached > bestCached && e.load() <= maxAffinityLoadFactor*mean+1 {
+			best, bestCached = e, cached
 		}
 	}
 	return best
 }
 
-func (e *engine) held(blocks []uint64) int {
-	for i, h := range blocks {
-		if !e.prefix.Contains(h) {
+// cachedBlocks returns how many leading blocks of the prompt are in the engine's prefix cache.
+func (e *engine) cachedBlocks(blocks []uint64) int {
+	for i, block := range blocks {
+		if !e.prefixCache.Contains(block) {
 			return i
 		}
 	}
@@ -149,14 +151,14 @@
 }
 
 func (e *engine) load() float64 {
-	return float64(len(e.report.Attempts) + len(e.placed))
+	return float64(len(e.report.Attempts) + len(e.unreportedPlacements))
 }
 
 func (e *engine) usable(now time.Time, role turmericwall.Role, a turmericwall.Arrival) bool {
 	if e.report.Role != role || e.report.Draining || e.vm.State != turmericwall.VMLive {
 		return false
 	}
-	if now.After(e.silentDeadline) || now.Before(e.ejectedUntil) {
+	if now.After(e.reportDeadline) || now.Before(e.ejectedUntil) {
 		return false
 	}
 	for _, name := range a.Avoid {
@@ -164,7 +166,7 @@
 			return false
 		}
 	}
-	if e.load() >= fullFactor*float64(e.report.Slots) {
+	if e.load() >= maxSlotLoadFactor*float64(e.report.Slots) {
 		return false
 	}
 	for _, m := range e.report.Models {
@@ -177,48 +179,50 @@
 
 func (b *Baseline) finish(now time.Time, ending turmericwall.Ending) {
 	if e, ok := b.engines[ending.FailedEngine]; ok {
-		e.ejectedUntil = now.Add(ejectedFor)
+		e.ejectedUntil = now.Add(ejectionDuration)
 	}
 }
 
-func (b *Baseline) report(now time.Time, event turmericwall.Reported) {
+func (b *Baseline) applyReport(now time.Time, event turmericwall.Reported) {
 	e, ok := b.engines[event.VM.Name]
 	if !ok {
 		return
 	}
 	e.report = event.Report
-	e.silentDeadline = now.Add(silentAfter)
-	taken := now.Add(-time.Duration(event.Report.AgeMillis) * time.Millisecond)
-	e.placed = slices.DeleteFunc(e.placed, func(at time.Time) bool { return at.Before(taken) })
+	e.reportDeadline = now.Add(reportTimeout)
+	takenAt := now.Add(-time.Duration(event.Report.AgeMillis) * time.Millisecond)
+	e.unreportedPlacements = slices.DeleteFunc(e.unreportedPlacements, func(at time.Time) bool {
+		return at.Before(takenAt)
+	})
 }
 
-func (b *Baseline) learn(event turmericwall.Cached) {
+func (b *Baseline) applyCacheEvents(event turmericwall.Cached) {
 	e, ok := b.engines[event.Engine]
 	if !ok {
 		return
 	}
 	for _, c := range event.Events.Events {
 		if c.Removed {
-			e.prefix.Remove(c.Block)
+			e.prefixCache.Remove(c.Block)
 			continue
 		}
-		e.prefix.Add(c.Block, struct{}{})
+		e.prefixCache.Add(c.Block, struct{}{})
 	}
 }
 
-func (b *Baseline) list(vms []turmericwall.VM) {
+func (b *Baseline) updateEngines(vms []turmericwall.VM) {
 	kept := make(map[string]*engine, len(vms))
-	b.order = b.order[:0]
+	b.sortedEngines = b.sortedEngines[:0]
 	for _, vm := range vms {
 		e, ok := b.engines[vm.Name]
 		if !ok {
-			prefix, _ := simplelru.NewLRU[uint64, struct{}](prefixBlocks, nil)
-			e = &engine{prefix: prefix}
+			prefixCache, _ := simplelru.NewLRU[uint64, struct{}](maxPrefixBlocks, nil)
+			e = &engine{prefixCache: prefixCache}
 		}
 		e.vm = vm
 		kept[vm.Name] = e
-		b.order = append(b.order, e)
+		b.sortedEngines = append(b.sortedEngines, e)
 	}
 	b.engines = kept
-	sort.Slice(b.order, func(i, j int) bool { return b.order[i].vm.Name < b.order[j].vm.Name })
+	sort.Slice(b.sortedEngines, func(i, j int) bool { return b.sortedEngines[i].vm.Name < b.sortedEngines[j].vm.Name })
 }
