--- a/internal/placement/twleader/group.go
+++ b/internal/placement/twleader/group.go
@@ -13,103 +13,105 @@
 const (
 	tickInterval = 20 * time.Millisecond
 	pollInterval = 250 * time.Millisecond
-	// idleAfter ends the polling of engines that this daemon no longer decides on.
-	idleAfter = 10 * time.Second
-	// warmTimeout bounds the wait for the first reports.
-	warmTimeout = time.Second
+	// idleTimeout is how long the engines of a service are polled after its last arrival here.
+	idleTimeout = 10 * time.Second
+	// readyTimeout limits how long an arrival waits for the first reports.
+	readyTimeout = time.Second
 )
 
-// group hosts the decision machine of one service.
-type group struct {
+// decider runs the placement policy of one service and polls its engines.
+type decider struct {
 	service string
 	config  Config
 	cost    metrics.Timer
 
-	mu           sync.Mutex
-	policy       turmericwall.Policy
-	waiting      map[string]chan turmericwall.Action
-	idleDeadline time.Time
-	warm         chan struct{}
-	isWarm       bool
-	polling      map[string]*poll
+	mu     sync.Mutex
+	policy turmericwall.Policy
+	// pendingDecisions are the channels of the attempts that wait for a decision.
+	pendingDecisions map[string]chan turmericwall.Action
+	idleDeadline     time.Time
+	// ready is closed once the first round of polls has finished.
+	ready   chan struct{}
+	isReady bool
+	polls   map[string]*poll
 }
 
-// poll is the state of reading one engine.
+// poll is the state of polling one engine.
 type poll struct {
-	running  bool
-	failed   bool
-	sequence uint64
+	running      bool
+	failed       bool
+	lastSequence uint64
 }
 
-func newGroup(service string, config Config) *group {
-	return &group{
-		service: service,
-		config:  config,
-		cost:    metrics.GetOrRegisterTimer("control.placement", config.Registry),
-		policy:  config.NewPolicy(),
-		waiting: make(map[string]chan turmericwall.Action),
-		warm:    make(chan struct{}),
-		polling: make(map[string]*poll),
+func newDecider(service string, config Config) *decider {
+	return &decider{
+		service:          service,
+		config:           config,
+		cost:             metrics.GetOrRegisterTimer("control.placement", config.Registry),
+		policy:           config.NewPolicy(),
+		pendingDecisions: make(map[string]chan turmericwall.Action),
+		ready:            make(chan struct{}),
+		polls:            make(map[string]*poll),
 	}
 }
 
-// place hands the arrival to the machine and waits for its decision.
-func (g *group) place(ctx context.Context, arrival turmericwall.Arrival) (turmericwall.Grant, error) {
-	g.awaitWarm(ctx)
-	decided := make(chan turmericwall.Action, 1)
-	g.expect(arrival.Attempt, decided)
-	g.step(arrival)
+// place passes the arrival to the policy and waits for its decision.
+func (d *decider) place(ctx context.Context, arrival turmericwall.Arrival) (turmericwall.Grant, error) {
+	d.awaitReady(ctx)
+	decision := make(chan turmericwall.Action, 1)
+	d.registerDecision(arrival.Attempt, decision)
+	d.step(arrival)
 	select {
-	case action := <-decided:
-		return outcome(action)
+	case action := <-decision:
+		return grantOrError(action)
 	case <-ctx.Done():
-		g.abandon(arrival.Attempt, decided)
+		d.withdraw(arrival.Attempt, decision)
 		return turmericwall.Grant{}, ctx.Err()
 	}
 }
 
-func (g *group) awaitWarm(ctx context.Context) {
-	warm := g.touch()
-	timer := g.config.Clock.NewTimer(warmTimeout)
+func (d *decider) awaitReady(ctx context.Context) {
+	ready := d.keepActive()
+	timer := d.config.Clock.NewTimer(readyTimeout)
 	defer timer.Stop()
 	select {
-	case <-warm:
+	case <-ready:
 	case <-timer.Chan():
 	case <-ctx.Done():
 	}
 }
 
-// touch keeps the group polling.
-func (g *group) touch() <-chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.idleDeadline = g.config.Clock.Now().Add(idleAfter)
-	return g.warm
+// keepActive extends the polling of the engines. It returns the channel that is closed once they have been polled.
+func (d *decider) keepActive() <-chan struct{} {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.idleDeadline = d.config.Clock.Now().Add(idleTimeout)
+	return d.ready
 }
 
-func (g *group) expect(attempt string, decided chan turmericwall.Action) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.waiting[attempt] = decided
+func (d *decider) registerDecision(attempt string, decision chan turmericwall.Action) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.pendingDecisions[attempt] = decision
 }
 
-// abandon takes back an arrival whose caller is gone. A grant that came at the same moment is released:
-// else its place would stay reserved until it lapses.
-func (g *group) abandon(attempt string, decided chan turmericwall.Action) {
-	g.step(turmericwall.Withdrawn{Attempt: attempt})
-	g.mu.Lock()
-	delete(g.waiting, attempt)
-	g.mu.Unlock()
+// withdraw removes an arrival whose caller has left. A grant made at the same time is released; its slot would
+// otherwise stay reserved until the reservation expires.
+func (d *decider) withdraw(attempt string, decision chan turmericwall.Action) {
+	d.step(turmericwall.Withdrawn{Attempt: attempt})
+	d.mu.Lock()
+	delete(d.pendingDecisions, attempt)
+	d.mu.Unlock()
 	select {
-	case action := <-decided:
+	case action := <-decision:
 		if _, granted := action.(turmericwall.Grant); granted {
-			g.step(turmericwall.Finished{Ending: turmericwall.Ending{Service: g.service, Attempt: attempt}})
+			d.step(turmericwall.Finished{Ending: turmericwall.Ending{Service: d.service, Attempt: attempt}})
 		}
 	default:
 	}
 }
 
-func outcome(action turmericwall.Action) (turmericwall.Grant, error) {
+func grantOrError(action turmericwall.Action) (turmericwall.Grant, error) {
 	switch a := action.(type) {
 	case turmericwall.Grant:
 		return a, nil
@@ -120,59 +122,59 @@
 	}
 }
 
-// step feeds the machine and hands its actions out.
-func (g *group) step(event turmericwall.Event) {
+// step passes the event to the policy and carries out the resulting actions.
+func (d *decider) step(event turmericwall.Event) {
 	var sweeps []turmericwall.Sweep
-	g.mu.Lock()
-	start := g.config.Clock.Now()
-	for _, action := range g.policy.Step(g.config.Clock.Now(), event) {
+	d.mu.Lock()
+	start := d.config.Clock.Now()
+	for _, action := range d.policy.Step(d.config.Clock.Now(), event) {
 		switch a := action.(type) {
 		case turmericwall.Grant:
-			g.decide(a.Attempt, a)
+			d.deliver(a.Attempt, a)
 		case turmericwall.Refusal:
-			g.decide(a.Attempt, a)
+			d.deliver(a.Attempt, a)
 		case turmericwall.Sweep:
 			sweeps = append(sweeps, a)
 		}
 	}
-	g.cost.Update(g.config.Clock.Since(start))
-	g.mu.Unlock()
+	d.cost.Update(d.config.Clock.Since(start))
+	d.mu.Unlock()
 	if len(sweeps) > 0 {
-		g.sweep(sweeps)
+		d.sweep(sweeps)
 	}
 }
 
-func (g *group) decide(attempt string, action turmericwall.Action) {
-	decided, ok := g.waiting[attempt]
+func (d *decider) deliver(attempt string, action turmericwall.Action) {
+	decision, ok := d.pendingDecisions[attempt]
 	if !ok {
 		return
 	}
-	delete(g.waiting, attempt)
-	decided <- action
+	delete(d.pendingDecisions, attempt)
+	decision <- action
 }
 
-// run lets time pass for the machine and reads the engines until ctx ends.
-func (g *group) run(ctx context.Context) error {
-	tick := g.config.Clock.NewTicker(tickInterval)
-	defer tick.Stop()
-	due := g.config.Clock.NewTicker(pollInterval)
-	defer due.Stop()
-	ends := make(chan string)
-	running := g.pollAll(ctx, ends)
+// run ticks the policy and polls the engines until ctx is done.
+func (d *decider) run(ctx context.Context) error {
+	ticker := d.config.Clock.NewTicker(tickInterval)
+	defer ticker.Stop()
+	pollTicker := d.config.Clock.NewTicker(pollInterval)
+	defer pollTicker.Stop()
+	finished := make(chan string)
+	running := d.startPolls(ctx, finished)
 	for {
 		select {
 		case <-ctx.Done():
 			for ; running > 0; running-- {
-				<-ends
+				<-finished
 			}
 			return nil
-		case name := <-ends:
+		case name := <-finished:
 			running--
-			g.polled(name, running)
-		case <-tick.Chan():
-			g.step(turmericwall.Tick{})
-		case <-due.Chan():
-			running += g.pollAll(ctx, ends)
+			d.finishPoll(name, running)
+		case <-ticker.Chan():
+			d.step(turmericwall.Tick{})
+		case <-pollTicker.Chan():
+			running += d.startPolls(ctx, finished)
 		}
 	}
 }
--- a/internal/placement/twleader/leader.go
+++ b/internal/placement/twleader/leader.go
@@ -1,4 +1,5 @@
-// Package twleader hosts the placement decisions of the engine services.
+// Package twleader runs the placement policies of the engine services that this daemon leads. It feeds them arrivals
+// from all daemons and what the engines report, and returns each decision to the daemon that asked for the placement.
 package twleader
 
 import (
@@ -14,21 +15,22 @@
 
 // Leader implements turmericwall.Placer for arrivals that this daemon decides on.
 //
-// Each service has one leader, chosen among the live daemons. Two leaders at once, or a new one without
-// the old one's reservations, cost speed only: the engines refuse what they can't hold.
+// Each service has one leader, chosen among the live daemons. Two leaders at the same time, or a new one that does not
+// know its predecessor's reservations, only cost time: the engines refuse what they have no room for.
 type Leader struct {
-	config   Config
-	starting chan *group
+	config Config
+	// starting are new deciders, which Run runs.
+	starting chan *decider
 
-	mu     sync.Mutex
-	groups map[string]*group
+	mu       sync.Mutex
+	deciders map[string]*decider
 }
 
-// Config names what the leader works with.
+// Config holds the leader's dependencies.
 type Config struct {
-	// NewPolicy returns the decision machine for one service.
+	// NewPolicy returns the policy for one service.
 	NewPolicy func() turmericwall.Policy
-	// Duties returns the services that this daemon keeps, also while no request comes.
+	// Duties returns the services that this daemon leads; it polls their engines even while no request arrives.
 	Duties func() []string
 	// Links returns the declared links between zones.
 	Links     func() []turmericwall.Link
@@ -43,74 +45,75 @@
 }
 
 const (
-	dutyInterval   = time.Second
-	startingBuffer = 64
+	keepActiveInterval = time.Second
+	maxStarting        = 64
 )
 
-// New returns a leader; it works while Run runs.
+// New returns a leader. It polls engines only while Run runs.
 func New(config Config) *Leader {
-	return &Leader{config: config, starting: make(chan *group, startingBuffer), groups: make(map[string]*group)}
+	return &Leader{config: config, starting: make(chan *decider, maxStarting), deciders: make(map[string]*decider)}
 }
 
-// Place decides on the arrival.
-func (k *Leader) Place(ctx context.Context, arrival turmericwall.Arrival) (turmericwall.Grant, error) {
-	return k.group(arrival.Service).place(ctx, arrival)
+// Place waits for the decision on the arrival. It returns the grant, a *turmericwall.Problem for a refusal, or the
+// error of ctx.
+func (l *Leader) Place(ctx context.Context, arrival turmericwall.Arrival) (turmericwall.Grant, error) {
+	return l.deciderFor(arrival.Service).place(ctx, arrival)
 }
 
 // Finish releases the attempt's reservation.
-func (k *Leader) Finish(ending turmericwall.Ending) {
-	k.group(ending.Service).step(turmericwall.Finished{Ending: ending})
+func (l *Leader) Finish(ending turmericwall.Ending) {
+	l.deciderFor(ending.Service).step(turmericwall.Finished{Ending: ending})
 }
 
-// OwnerLost frees what a lost daemon reserved.
-func (k *Leader) OwnerLost(incarnation string) {
-	for _, g := range k.all() {
-		g.step(turmericwall.OwnerLost{Incarnation: incarnation})
+// OwnerLost releases what the lost daemon reserved.
+func (l *Leader) OwnerLost(incarnation string) {
+	for _, d := range l.allDeciders() {
+		d.step(turmericwall.OwnerLost{Incarnation: incarnation})
 	}
 }
 
-// Run reads reports and lets time pass until ctx ends.
-func (k *Leader) Run(ctx context.Context) error {
-	ticker := k.config.Clock.NewTicker(dutyInterval)
+// Run polls engines and advances the policies until ctx is done.
+func (l *Leader) Run(ctx context.Context) error {
+	ticker := l.config.Clock.NewTicker(keepActiveInterval)
 	defer ticker.Stop()
-	ends := make(chan error)
+	finished := make(chan error)
 	running := 0
 	for {
 		select {
 		case <-ctx.Done():
 			for ; running > 0; running-- {
-				<-ends
+				<-finished
 			}
 			return nil
-		case g := <-k.starting:
+		case d := <-l.starting:
 			running++
-			go func() { ends <- g.run(ctx) }()
+			go func() { finished <- d.run(ctx) }()
 		case <-ticker.Chan():
-			for _, service := range k.config.Duties() {
-				k.group(service).touch()
+			for _, service := range l.config.Duties() {
+				l.deciderFor(service).keepActive()
 			}
 		}
 	}
 }
 
-func (k *Leader) group(service string) *group {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	g, ok := k.groups[service]
+func (l *Leader) deciderFor(service string) *decider {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	d, ok := l.deciders[service]
 	if !ok {
-		g = newGroup(service, k.config)
-		k.groups[service] = g
-		k.starting <- g
+		d = newDecider(service, l.config)
+		l.deciders[service] = d
+		l.starting <- d
 	}
-	return g
+	return d
 }
 
-func (k *Leader) all() []*group {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	all := make([]*group, 0, len(k.groups))
-	for _, g := range k.groups {
-		all = append(all, g)
+func (l *Leader) allDeciders() []*decider {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	all := make([]*decider, 0, len(l.deciders))
+	for _, d := range l.deciders {
+		all = append(all, d)
 	}
 	return all
 }
--- a/internal/placement/twleader/poll.go
+++ b/internal/placement/twleader/poll.go
@@ -7,51 +7,53 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// pollAll starts reading each engine that is not being read, and returns how many it started.
-func (g *group) pollAll(ctx context.Context, ends chan<- string) int {
-	if g.idle() {
+// startPolls starts a poll of each engine that has none running, and returns the number of polls started.
+func (d *decider) startPolls(ctx context.Context, finished chan<- string) int {
+	if d.stopIfIdle() {
 		return 0
 	}
-	vms := g.config.Fleet.Upstreams(g.service)
-	g.step(turmericwall.Listed{VMs: vms, Links: g.config.Links()})
+	vms := d.config.Fleet.Upstreams(d.service)
+	d.step(turmericwall.Listed{VMs: vms, Links: d.config.Links()})
 	started := 0
 	for _, vm := range vms {
-		p, ok := g.startPoll(vm.Name)
+		p, ok := d.acquirePoll(vm.Name)
 		if !ok {
 			continue
 		}
 		started++
 		go func() {
-			g.pollOne(ctx, vm, p)
-			ends <- vm.Name
+			d.pollEngine(ctx, vm, p)
+			finished <- vm.Name
 		}()
 	}
 	if started == 0 && len(vms) == 0 {
-		g.setWarm()
+		d.setReady()
 	}
 	return started
 }
 
-func (g *group) idle() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.config.Clock.Now().Before(g.idleDeadline) {
+// stopIfIdle reports whether the service is idle. If so, the next arrival waits for a new round of polls, because the
+// reports known so far are stale.
+func (d *decider) stopIfIdle() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.config.Clock.Now().Before(d.idleDeadline) {
 		return false
 	}
-	if g.isWarm {
-		g.isWarm = false
-		g.warm = make(chan struct{})
+	if d.isReady {
+		d.isReady = false
+		d.ready = make(chan struct{})
 	}
 	return true
 }
 
-func (g *group) startPoll(name string) (*poll, bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	p, ok := g.polling[name]
+func (d *decider) acquirePoll(name string) (*poll, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	p, ok := d.polls[name]
 	if !ok {
 		p = &poll{}
-		g.polling[name] = p
+		d.polls[name] = p
 	}
 	if p.running {
 		return nil, false
@@ -60,72 +62,72 @@
 	return p, true
 }
 
-// polled notes the end of a poll; the group is warm once the first round has ended.
-func (g *group) polled(name string, running int) {
-	g.mu.Lock()
-	g.polling[name].running = false
-	g.mu.Unlock()
+// finishPoll records the end of a poll; the decider is ready when no poll is left running.
+func (d *decider) finishPoll(name string, running int) {
+	d.mu.Lock()
+	d.polls[name].running = false
+	d.mu.Unlock()
 	if running == 0 {
-		g.setWarm()
+		d.setReady()
 	}
 }
 
-func (g *group) setWarm() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.isWarm {
-		g.isWarm = true
-		close(g.warm)
+func (d *decider) setReady() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.isReady {
+		d.isReady = true
+		close(d.ready)
 	}
 }
 
-// pollOne reads an engine's report and events. After a failure it asks on a new connection: the old
-// one may be silent for good while new ones work.
-func (g *group) pollOne(ctx context.Context, vm turmericwall.VM, p *poll) {
-	engine := g.config.Engines.Engine(vm.Address)
+// pollEngine fetches the engine's report and its cache events. After a failure it uses a new connection, since the old
+// one may stay unresponsive while new ones work.
+func (d *decider) pollEngine(ctx context.Context, vm turmericwall.VM, p *poll) {
+	engine := d.config.Engines.Engine(vm.Address)
 	report, err := engine.Report(ctx, p.failed)
 	if err != nil {
-		g.noteFailure(ctx, vm, p, err)
+		d.recordFailure(ctx, vm, p, err)
 		return
 	}
 	p.failed = false
-	g.step(turmericwall.Reported{VM: vm, Report: report})
+	d.step(turmericwall.Reported{VM: vm, Report: report})
 	if report.Role != turmericwall.RolePrefill {
 		return
 	}
-	events, err := engine.Events(ctx, p.sequence)
+	events, err := engine.Events(ctx, p.lastSequence)
 	if err != nil || len(events.Events) == 0 {
 		return
 	}
-	p.sequence = events.Events[len(events.Events)-1].Sequence
-	g.step(turmericwall.Cached{Engine: vm.Name, Events: events})
+	p.lastSequence = events.Events[len(events.Events)-1].Sequence
+	d.step(turmericwall.Cached{Engine: vm.Name, Events: events})
 }
 
-func (g *group) noteFailure(ctx context.Context, vm turmericwall.VM, p *poll, err error) {
+func (d *decider) recordFailure(ctx context.Context, vm turmericwall.VM, p *poll, err error) {
 	if !p.failed && ctx.Err() == nil {
-		g.config.Recorder.Record(turmericwall.EventEngineUnreachable).Str("engine", vm.Name).Err(err).Send()
+		d.config.Recorder.Record(turmericwall.EventEngineUnreachable).Str("engine", vm.Name).Err(err).Send()
 	}
 	p.failed = true
 }
 
-// sweep cancels what engines hold for requests that are gone.
-func (g *group) sweep(sweeps []turmericwall.Sweep) {
+// sweep cancels the attempts that their owners no longer want.
+func (d *decider) sweep(sweeps []turmericwall.Sweep) {
 	byOwner := make(map[string][]turmericwall.Sweep)
 	for _, s := range sweeps {
 		owner, _, _ := strings.Cut(s.Attempt, "/")
 		byOwner[owner] = append(byOwner[owner], s)
 	}
 	for owner, owned := range byOwner {
-		g.sweepOwner(owner, owned)
+		d.sweepOwner(owner, owned)
 	}
 }
 
-func (g *group) sweepOwner(owner string, owned []turmericwall.Sweep) {
+func (d *decider) sweepOwner(owner string, owned []turmericwall.Sweep) {
 	attempts := make([]string, 0, len(owned))
 	for _, s := range owned {
 		attempts = append(attempts, s.Attempt)
 	}
-	wanted, known := g.wanted(owner, attempts)
+	wanted, known := d.queryWanted(owner, attempts)
 	if !known {
 		return
 	}
@@ -133,29 +135,30 @@
 		if wanted[s.Attempt] {
 			continue
 		}
-		g.config.Recorder.Record(turmericwall.EventAttemptSwept).Str("engine", s.VM.Name).Str("attempt", s.Attempt).Str("owner", owner).Send()
-		g.config.Canceller.Cancel(s.VM, s.Attempt)
+		d.config.Recorder.Record(turmericwall.EventAttemptSwept).
+			Str("engine", s.VM.Name).Str("attempt", s.Attempt).Str("owner", owner).Send()
+		d.config.Canceller.Cancel(s.VM, s.Attempt)
 	}
 }
 
-// wanted asks the owner; a lost owner wants nothing. Known is false when the owner counts as live but
-// gives no answer, or when this daemon may be the one that is cut off.
-func (g *group) wanted(owner string, attempts []string) (wanted map[string]bool, known bool) {
-	var names []string
+// queryWanted asks the owner which of its attempts it still wants; a lost owner wants none. It returns known=false
+// when the owner counts as live but does not answer, or when this daemon may be the one that is partitioned.
+func (d *decider) queryWanted(owner string, attempts []string) (wanted map[string]bool, known bool) {
+	var wantedAttempts []string
 	var err error
 	switch {
-	case owner == g.config.Peers.Self():
-		names = g.config.Holder.Wanted(attempts)
-	case g.config.Peers.Live(owner):
-		names, err = g.config.Peers.Hold(context.Background(), owner, attempts)
-	case g.config.Peers.Isolated():
+	case owner == d.config.Peers.Self():
+		wantedAttempts = d.config.Holder.Wanted(attempts)
+	case d.config.Peers.Live(owner):
+		wantedAttempts, err = d.config.Peers.Hold(context.Background(), owner, attempts)
+	case d.config.Peers.Isolated():
 		return nil, false
 	}
 	if err != nil {
 		return nil, false
 	}
-	wanted = make(map[string]bool, len(names))
-	for _, name := range names {
+	wanted = make(map[string]bool, len(wantedAttempts))
+	for _, name := range wantedAttempts {
 		wanted[name] = true
 	}
 	return wanted, true
