--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twordering/orders.go
@@ -37,12 +37,12 @@
 	config Config
 	// mu guards the roles: calls are placed while orders are given.
 	mu    sync.Mutex
-	roles map[string]*twroles.Roles
+	roles map[string]*twroles.Planner
 }
 
 // New returns orders; none is given before Run.
 func New(config Config) *Orders {
-	return &Orders{config: config, roles: make(map[string]*twroles.Roles)}
+	return &Orders{config: config, roles: make(map[string]*twroles.Planner)}
 }
 
 // Run gives the orders that are due until ctx ends.
@@ -111,7 +111,7 @@
 	case accepted:
 		o.config.Changed(change.Upstream.ID, change.Role, change.Until)
 	default:
-		roles.Declined(change.Upstream.ID)
+		roles.DiscardChange(change.Upstream.ID)
 	}
 }
 
--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -1,4 +1,5 @@
-// Package twroles decides how many engines read prompts and how many answer, and which engine changes.
+// Package twroles decides how many engines of a service prefill and how many decode, and which engines change their
+// role. The leader plans with it between requests; twordering sends the resulting orders to the engines.
 package twroles
 
 import (
@@ -12,33 +13,35 @@
 
 // Tuning holds the limits of the decisions.
 type Tuning struct {
-	// AssumedShare is the part of the engines that read prompts while too few calls came to know what they cost. An engine
-	// that reads is given away at once, one that answers only after its longest answer: rather too many read at first.
-	AssumedShare float64
-	// Gain is the part by which all changes to one role together must raise what the engines can serve.
-	Gain float64
-	// ReturnMillis is how long an engine that vanished without a word is counted on to come back.
-	ReturnMillis float64
-	// QuietMillis must pass without a new engine before the first change: engines register one after the other.
-	QuietMillis float64
+	// DefaultPrefillShare is the share of prefill engines while too few calls have been measured to know their cost.
+	// It is rather high, because a prefill engine can change its role at once, a decode engine only after its longest
+	// answer.
+	DefaultPrefillShare float64
+	// MinGain is the relative gain in what the engines can serve that all changes to one role together must bring.
+	MinGain float64
+	// RestartMillis is how long an engine that vanished without announcing its end is expected to restart.
+	RestartMillis float64
+	// SettleMillis must pass without a new engine before the first change, because engines register one after the
+	// other.
+	SettleMillis float64
 }
 
-// DefaultTuning returns the limits in use.
+// DefaultTuning returns the default limits.
 func DefaultTuning() Tuning {
-	return Tuning{AssumedShare: 0.3, Gain: 0.04, ReturnMillis: 3000, QuietMillis: 1300}
+	return Tuning{DefaultPrefillShare: 0.3, MinGain: 0.04, RestartMillis: 3000, SettleMillis: 1300}
 }
 
-// Roles plans the changes of one service's engines. It has no clock of its own.
-type Roles struct {
+// Planner plans the role changes of one service's engines. It has no clock of its own.
+type Planner struct {
 	tuning Tuning
-	// changing are the engines that were ordered, until their change must be over.
-	changing map[string]change
-	// present are the engines of the last look, missing those that vanished from it and may come back.
+	// pendingChanges are the engines that were ordered to change and do not show their new role yet.
+	pendingChanges map[string]change
+	// present are the engines of the last call, missing those that vanished and are expected to restart.
 	present map[string]turmericwall.Upstream
 	missing map[string]absence
-	// known counts the engines seen, quietAt is when none will have come for long enough.
-	known   int
-	quietAt time.Time
+	// engineCount is the number of engines at the last call, settledAt when enough time has passed without a new one.
+	engineCount int
+	settledAt   time.Time
 }
 
 type change struct {
@@ -55,124 +58,129 @@
 type Change struct {
 	Upstream turmericwall.Upstream
 	Role     turmericwall.Role
-	// Prefills and Decodes are the engines of each role as they will be without the change.
+	// Prefills and Decodes are the numbers of engines of each role after all changes under way, without this one.
 	Prefills, Decodes int
-	// Until is when the change is surely over.
+	// Until is when the change has finished at the latest.
 	Until time.Time
-	// Cost is what decided.
+	// Cost is the cost of a call on which the decision is based.
 	Cost turmericwall.CallCost
 }
 
-// New returns roles without changes under way.
-func New(tuning Tuning) *Roles {
-	return &Roles{
-		tuning: tuning, changing: make(map[string]change), present: make(map[string]turmericwall.Upstream),
+// New returns a planner without pending changes.
+func New(tuning Tuning) *Planner {
+	return &Planner{
+		tuning: tuning, pendingChanges: make(map[string]change), present: make(map[string]turmericwall.Upstream),
 		missing: make(map[string]absence),
 	}
 }
 
 // Plan returns the changes that are due.
 //
-// Each change takes an engine away for a while. While calls are under way an engine changes only when that raises what
-// all can serve, and when its pool can spare it meanwhile.
-func (r *Roles) Plan(now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, need turmericwall.EngineNeed) []Change {
-	r.follow(now, engines)
-	if !r.quiet(now, len(engines)) {
+// An engine serves no calls while it changes its role. While calls are under way, an engine therefore changes only if
+// that raises what all engines together can serve, and if its pool can spare it during the change.
+func (r *Planner) Plan(
+	now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, need turmericwall.EngineNeed,
+) []Change {
+	r.trackPresence(now, engines)
+	if !r.settled(now, len(engines)) {
 		return nil
 	}
-	p := r.pools(now, engines)
+	p := r.buildPools(now, engines)
 	var changes []Change
 	for {
-		role, ok := r.next(p, need)
+		role, ok := r.nextRole(p, need)
 		if !ok {
 			break
 		}
-		u, ok := p.give(role)
+		u, ok := p.takeForRole(role)
 		if !ok {
 			break
 		}
-		until := now.Add(time.Duration(plan.RoleChangeMillis+lateMillis) * time.Millisecond)
+		until := now.Add(time.Duration(plan.RoleChangeMillis+roleReportDelayMillis) * time.Millisecond)
 		changes = append(changes, Change{
-			Upstream: u, Role: role, Prefills: p.final.Prefills, Decodes: p.final.Decodes, Until: until, Cost: need.Cost,
+			Upstream: u, Role: role, Prefills: p.final.Prefills, Decodes: p.final.Decodes, Until: until,
+			Cost: need.Cost,
 		})
-		r.changing[u.ID] = change{role: role, until: until}
+		r.pendingChanges[u.ID] = change{role: role, until: until}
 		p.final = p.final.Moved(role)
 	}
 	return changes
 }
 
-// next is the role that one more engine should take.
-func (r *Roles) next(p *pools, need turmericwall.EngineNeed) (turmericwall.Role, bool) {
+// nextRole returns the role that one more engine should take; ok is false if the split should stay.
+func (r *Planner) nextRole(p *pools, need turmericwall.EngineNeed) (turmericwall.Role, bool) {
 	if !need.Known {
-		return r.assumed(p.final, need.Busy)
+		return r.nextRoleByShare(p.final, need.Busy)
 	}
 	for _, role := range []turmericwall.Role{turmericwall.RolePrefill, turmericwall.RoleDecode} {
-		if need.Busy && !p.short(role, need) {
+		if need.Busy && !p.needsEngine(role, need) {
 			continue
 		}
 		gain := 0.0
 		if need.Busy {
-			gain = r.tuning.Gain
+			gain = r.tuning.MinGain
 		}
 		best := p.final.Best(role, need.Cost)
-		if best.Worth(need.Cost) > p.final.Worth(need.Cost)*(1+gain) && (!need.Busy || p.spares(role, need.Cost)) {
+		if best.Worth(need.Cost) > p.final.Worth(need.Cost)*(1+gain) && (!need.Busy || p.canSpare(role, need.Cost)) {
 			return role, true
 		}
 	}
 	return "", false
 }
 
-// short tells that engines of the role are missing: calls found none in time, or there is none.
-func (p *pools) short(role turmericwall.Role, need turmericwall.EngineNeed) bool {
+// needsEngine reports whether the role should get an engine while calls are under way: it has none; or for prefill,
+// calls find no prefill engine in time and decode engines have a surplus; or for decode, prefill engines have a
+// surplus.
+func (p *pools) needsEngine(role turmericwall.Role, need turmericwall.EngineNeed) bool {
 	if role == turmericwall.RolePrefill {
 		return (need.Readers.Short && need.Answerers.Spare) || p.final.Prefills == 0
 	}
 	return need.Readers.Spare || p.final.Decodes == 0
 }
 
-// assumed is the role that is missing while nothing is known of the calls.
-func (r *Roles) assumed(s twsplit.Split, busy bool) (turmericwall.Role, bool) {
+// nextRoleByShare returns the role that lacks engines while the cost of calls is unknown.
+func (r *Planner) nextRoleByShare(s twsplit.Split, busy bool) (turmericwall.Role, bool) {
 	total := s.Prefills + s.Decodes
 	if total < 2 {
 		return "", false
 	}
-	want := min(max(int(math.Round(r.tuning.AssumedShare*float64(total))), 1), total-1)
+	wantPrefills := min(max(int(math.Round(r.tuning.DefaultPrefillShare*float64(total))), 1), total-1)
 	switch {
-	case s.Prefills == 0 || (!busy && s.Prefills < want):
+	case s.Prefills == 0 || (!busy && s.Prefills < wantPrefills):
 		return turmericwall.RolePrefill, true
-	case s.Decodes == 0 || (!busy && s.Prefills > want):
+	case s.Decodes == 0 || (!busy && s.Prefills > wantPrefills):
 		return turmericwall.RoleDecode, true
 	}
 	return "", false
 }
 
-// lateMillis is how long an engine's new role may be unknown here beside the change itself: its answers under way end
-// first, the longest lasts ten seconds, and two beats and the feed's lag follow. Taken for unchanged too early, it got
-// calls that it refused.
-const lateMillis = 15_000
+// roleReportDelayMillis is how long after the change itself an engine may still be reported with its old role: its
+// running answers finish first, the longest takes ten seconds, and two heartbeats and the lag of the feed follow. An
+// engine that counted as unchanged too early got calls that it refused.
+const roleReportDelayMillis = 15_000
 
-// quiet tells that no engine came for a while.
-func (r *Roles) quiet(now time.Time, engines int) bool {
-	if engines > r.known {
-		r.quietAt = now.Add(time.Duration(r.tuning.QuietMillis) * time.Millisecond)
+// settled reports whether no new engine has registered for SettleMillis.
+func (r *Planner) settled(now time.Time, engines int) bool {
+	if engines > r.engineCount {
+		r.settledAt = now.Add(time.Duration(r.tuning.SettleMillis) * time.Millisecond)
 	}
-	r.known = engines
-	return !now.Before(r.quietAt)
+	r.engineCount = engines
+	return !now.Before(r.settledAt)
 }
 
-// follow notes which engines vanished without having said that they leave.
+// trackPresence records which engines vanished without announcing that they leave.
 //
-// An engine that crashed is back within seconds, sooner than another one could change its role; orders that followed
-// each crash and each return kept engines away for most of the time.
-func (r *Roles) follow(now time.Time, engines []turmericwall.Upstream) {
-	here := make(map[string]turmericwall.Upstream, len(engines))
+// A crashed engine restarts within seconds, sooner than another engine could take its role. Orders that followed each
+// crash and each restart kept engines changing their role for most of the time.
+func (r *Planner) trackPresence(now time.Time, engines []turmericwall.Upstream) {
+	current := make(map[string]turmericwall.Upstream, len(engines))
 	for _, u := range engines {
-		here[u.ID] = u
+		current[u.ID] = u
 		delete(r.missing, u.ID)
 	}
-	until := now.Add(time.Duration(r.tuning.ReturnMillis) * time.Millisecond)
+	until := now.Add(time.Duration(r.tuning.RestartMillis) * time.Millisecond)
 	for id, u := range r.present {
-		if _, ok := here[id]; !ok && !u.Leaving {
+		if _, ok := current[id]; !ok && !u.Leaving {
 			r.missing[id] = absence{role: u.Role, until: until}
 		}
 	}
@@ -181,19 +189,20 @@
 			delete(r.missing, id)
 		}
 	}
-	for id, u := range here {
+	for id, u := range current {
 		if _, ok := r.present[id]; !ok {
-			r.returned(u.Role)
+			r.countAsRestarted(u.Role)
 		}
 	}
-	r.present = here
+	r.present = current
 }
 
-// Declined forgets a change that its engine did not take.
-func (r *Roles) Declined(id string) { delete(r.changing, id) }
+// DiscardChange discards a change that its engine refused.
+func (r *Planner) DiscardChange(id string) { delete(r.pendingChanges, id) }
 
-// returned takes a new engine for one that vanished: an engine that starts again mostly has a new id.
-func (r *Roles) returned(role turmericwall.Role) {
+// countAsRestarted treats a new engine as the restart of a vanished one of the same role: a restarted engine usually
+// has a new ID.
+func (r *Planner) countAsRestarted(role turmericwall.Role) {
 	for id, a := range r.missing {
 		if a.role == role {
 			delete(r.missing, id)
@@ -202,24 +211,24 @@
 	}
 }
 
-// pools are the engines that serve each role now, and the split as it will be when all changes are over.
+// pools are the engines that serve each role now, and the split after all changes under way.
 type pools struct {
 	prefills, decodes []turmericwall.Upstream
 	final             twsplit.Split
 }
 
-// pools sorts the engines by the role that they have or were told to take, in an order that spreads each role over
-// the zones.
-func (r *Roles) pools(now time.Time, engines []turmericwall.Upstream) *pools {
+// buildPools sorts the engines by the role that they have or were ordered to take, in an order that spreads each role
+// over the zones.
+func (r *Planner) buildPools(now time.Time, engines []turmericwall.Upstream) *pools {
 	p := &pools{}
 	for _, u := range engines {
 		if u.Leaving {
 			continue
 		}
 		role := u.Role
-		c, changing := r.changing[u.ID]
+		c, changing := r.pendingChanges[u.ID]
 		if changing && (now.After(c.until) || role == c.role) {
-			delete(r.changing, u.ID)
+			delete(r.pendingChanges, u.ID)
 			changing = false
 		}
 		if changing {
@@ -237,7 +246,7 @@
 	for _, a := range r.missing {
 		p.count(a.role)
 	}
-	p.prefills, p.decodes = spread(p.prefills), spread(p.decodes)
+	p.prefills, p.decodes = spreadOverZones(p.prefills), spreadOverZones(p.decodes)
 	return p
 }
 
@@ -250,23 +259,23 @@
 	}
 }
 
-// spares tells that the engines that serve now can do without the one that would take the role.
-func (p *pools) spares(role turmericwall.Role, cost turmericwall.CallCost) bool {
-	now := twsplit.Split{Prefills: len(p.prefills), Decodes: len(p.decodes)}
-	during := now
+// canSpare reports whether the engines that serve now can do without the one that would take the role.
+func (p *pools) canSpare(role turmericwall.Role, cost turmericwall.CallCost) bool {
+	serving := twsplit.Split{Prefills: len(p.prefills), Decodes: len(p.decodes)}
+	during := serving
 	if role == turmericwall.RolePrefill {
 		during.Decodes--
 	} else {
 		during.Prefills--
 	}
-	return during.Rate(cost) >= spareShare*now.Rate(cost)
+	return during.Rate(cost) >= minServingShare*serving.Rate(cost)
 }
 
-// spareShare is how much of what the engines can serve must be left while one of them changes.
-const spareShare = 0.9
+// minServingShare is the share of what the engines can serve that must remain while one of them changes its role.
+const minServingShare = 0.9
 
-// give takes the engine that changes from its pool.
-func (p *pools) give(role turmericwall.Role) (turmericwall.Upstream, bool) {
+// takeForRole removes an engine from the other role's pool, so that it can take the role.
+func (p *pools) takeForRole(role turmericwall.Role) (turmericwall.Upstream, bool) {
 	from := &p.prefills
 	if role == turmericwall.RolePrefill {
 		from = &p.decodes
@@ -280,8 +289,8 @@
 	return u, true
 }
 
-// spread orders engines so that each next one is of another zone where possible.
-func spread(engines []turmericwall.Upstream) []turmericwall.Upstream {
+// spreadOverZones orders engines so that consecutive ones are in different zones where possible.
+func spreadOverZones(engines []turmericwall.Upstream) []turmericwall.Upstream {
 	rank := make(map[string]int)
 	type ranked struct {
 		turmericwall.Upstream
--- a/internal/placement/twroles/roles_test.go
+++ b/internal/placement/twroles/roles_test.go
@@ -14,23 +14,23 @@
 var (
 	start = time.Unix(1000, 0)
 	plan  = turmericwall.EnginePlan{RoleChangeMillis: 6000}
-	// idle is the need before any call came, and busy that of calls of which nothing is known yet.
+	// idle is the need before any call arrived, busy that of calls whose cost is still unknown.
 	idle = turmericwall.EngineNeed{}
 	busy = turmericwall.EngineNeed{Busy: true}
-	// reading and answering are costs at which one engine in four, and two in five, should read.
-	answering = turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 300}
-	reading   = turmericwall.CallCost{ReadMillis: 200, AnswerMillis: 300}
+	// decodeHeavy and prefillHeavy are costs at which one engine in four, and two in five, should prefill.
+	decodeHeavy  = turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 300}
+	prefillHeavy = turmericwall.CallCost{ReadMillis: 200, AnswerMillis: 300}
 )
 
-// load is the need of calls that take cost.
-func load(cost turmericwall.CallCost, readers, answerers turmericwall.RoleNeed) turmericwall.EngineNeed {
+// busyNeed is the need of calls with the given cost.
+func busyNeed(cost turmericwall.CallCost, readers, answerers turmericwall.RoleNeed) turmericwall.EngineNeed {
 	return turmericwall.EngineNeed{Busy: true, Known: true, Cost: cost, Readers: readers, Answerers: answerers}
 }
 
 var (
-	short = turmericwall.RoleNeed{Short: true}
-	spare = turmericwall.RoleNeed{Spare: true}
-	full  = turmericwall.RoleNeed{}
+	shortage = turmericwall.RoleNeed{Short: true}
+	surplus  = turmericwall.RoleNeed{Spare: true}
+	balanced = turmericwall.RoleNeed{}
 )
 
 func engines(prefills, decodes int) []turmericwall.Upstream {
@@ -45,25 +45,26 @@
 	return list
 }
 
-// quiet returns roles that have seen the engines for long enough, and the moment after it.
-func quiet(list []turmericwall.Upstream) (*twroles.Roles, time.Time) {
+// settledPlanner returns a planner that has seen the engines for long enough to order changes, and the time after
+// that.
+func settledPlanner(list []turmericwall.Upstream) (*twroles.Planner, time.Time) {
 	r := twroles.New(twroles.DefaultTuning())
 	r.Plan(start, plan, list, idle)
 	return r, start.Add(2 * time.Second)
 }
 
-func TestSurplusPrefillEnginesAnswerBeforeCallsCome(t *testing.T) {
+func TestSurplusPrefillEnginesMoveToDecodeWhileIdle(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(7, 11)
-	r, at := quiet(list)
+	r, at := settledPlanner(list)
 	changes := r.Plan(at, plan, list, idle)
 	g.Expect(changes).To(HaveLen(2))
 	g.Expect(changes[0].Role).To(Equal(turmericwall.RoleDecode))
-	g.Expect(r.Plan(at.Add(time.Second), plan, list, idle)).To(BeEmpty(), "they are changing")
+	g.Expect(r.Plan(at.Add(time.Second), plan, list, idle)).To(BeEmpty(), "the two engines are changing their role")
 }
 
-// Engines register one after the other over some seconds. Orders given for the first few of them were taken back when
-// the rest came, and the engines were away at the first calls.
+// Engines register one after the other over several seconds. If the first few were ordered to change, the orders would
+// be reversed when the rest registered, and the engines would be changing their role when the first calls arrive.
 func TestNoChangeWhileEnginesStillRegister(t *testing.T) {
 	g := NewWithT(t)
 	r := twroles.New(twroles.DefaultTuning())
@@ -75,39 +76,39 @@
 	g.Expect(r.Plan(at.Add(time.Second), plan, engines(7, 11), idle)).To(HaveLen(2))
 }
 
-// Some engines crash at the peak and come back four seconds later. Each change takes an engine away for six seconds;
-// the roles are left as they are.
+// Several engines crash at the peak and restart four seconds later. A role change takes six seconds, so the roles must
+// stay as they are.
 func TestACrashAtThePeakMovesNoEngine(t *testing.T) {
 	g := NewWithT(t)
-	r, at := quiet(engines(4, 14))
-	need := load(answering, full, short)
+	r, at := settledPlanner(engines(4, 14))
+	need := busyNeed(decodeHeavy, balanced, shortage)
 	g.Expect(r.Plan(at, plan, engines(4, 10), need)).To(BeEmpty())
 	g.Expect(r.Plan(at.Add(4*time.Second), plan, engines(4, 14), need)).To(BeEmpty())
 	g.Expect(r.Plan(at.Add(8*time.Second), plan, engines(3, 14), need)).To(BeEmpty())
 }
 
-// An engine that reads crashes, and the others can't read in time. Its new incarnation, under another id, is there
-// sooner than a decode engine could take its role.
-func TestACrashedEngineIsCountedOnToComeBack(t *testing.T) {
+// A prefill engine crashes, and the others cannot prefill all calls in time. Its next incarnation registers under
+// another ID, sooner than a decode engine could take its role.
+func TestACrashedEngineIsExpectedToRestart(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(4, 12)
-	r, at := quiet(list)
-	need := load(answering, short, spare)
+	r, at := settledPlanner(list)
+	need := busyNeed(decodeHeavy, shortage, surplus)
 	r.Plan(at, plan, list, need)
 	g.Expect(r.Plan(at.Add(time.Second), plan, list[1:], need)).To(BeEmpty())
-	again := list[0]
-	again.ID = "new"
-	g.Expect(r.Plan(at.Add(2*time.Second), plan, append(list[1:], again), need)).To(BeEmpty())
-	g.Expect(r.Plan(at.Add(8*time.Second), plan, append(list[1:], again), need)).To(BeEmpty())
+	restarted := list[0]
+	restarted.ID = "new"
+	g.Expect(r.Plan(at.Add(2*time.Second), plan, append(list[1:], restarted), need)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(8*time.Second), plan, append(list[1:], restarted), need)).To(BeEmpty())
 }
 
-// Two of three engines that read leave at the peak, and say so. The decode engines have room; one of them is told to read
-// at once, and then another.
-func TestReadersThatLeaveAreReplaced(t *testing.T) {
+// Two of three prefill engines announce at the peak that they leave. The decode engines have a surplus, so two of them
+// must be ordered to prefill at once.
+func TestLeavingPrefillEnginesAreReplaced(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(3, 9)
-	r, at := quiet(list)
-	need := load(answering, short, spare)
+	r, at := settledPlanner(list)
+	need := busyNeed(decodeHeavy, shortage, surplus)
 	g.Expect(r.Plan(at, plan, list, need)).To(BeEmpty())
 	list[0].Leaving, list[1].Leaving = true, true
 	changes := r.Plan(at.Add(time.Second), plan, list, need)
@@ -116,24 +117,25 @@
 	g.Expect(r.Plan(at.Add(2*time.Second), plan, list, need)).To(BeEmpty())
 }
 
-// The peak needs engines of both roles. One that is taken from those that answer is away while it is needed most.
+// The peak needs engines of both roles. A decode engine ordered to prefill would be unavailable when it is needed
+// most.
 func TestNoEngineIsTakenFromARoleThatCannotSpareIt(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(2, 10)
-	r, at := quiet(list)
-	g.Expect(r.Plan(at, plan, list, load(reading, short, full))).To(BeEmpty())
-	g.Expect(r.Plan(at, plan, list, load(reading, full, spare))).To(BeEmpty(), "calls are read in time")
-	g.Expect(r.Plan(at, plan, list, load(reading, short, spare))).NotTo(BeEmpty())
+	r, at := settledPlanner(list)
+	g.Expect(r.Plan(at, plan, list, busyNeed(prefillHeavy, shortage, balanced))).To(BeEmpty())
+	g.Expect(r.Plan(at, plan, list, busyNeed(prefillHeavy, balanced, surplus))).To(BeEmpty(), "prefills are in time")
+	g.Expect(r.Plan(at, plan, list, busyNeed(prefillHeavy, shortage, surplus))).NotTo(BeEmpty())
 }
 
-// The calls' answers are long. Engines that read more than is needed answer as soon as that is known: they have nothing to
-// finish first.
-func TestSpareReadersAnswerAsSoonAsCallsAreKnown(t *testing.T) {
+// The answers of the calls are long. Surplus prefill engines must change to decode as soon as the cost is known, since
+// they have no running answers to finish first.
+func TestSurplusPrefillEnginesMoveToDecodeOnceCostIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(5, 7)
-	r, at := quiet(list)
+	r, at := settledPlanner(list)
 	g.Expect(r.Plan(at, plan, list, busy)).To(BeEmpty())
-	changes := r.Plan(at, plan, list, load(answering, spare, full))
+	changes := r.Plan(at, plan, list, busyNeed(decodeHeavy, surplus, balanced))
 	g.Expect(changes).To(HaveLen(2))
 	g.Expect(changes[0].Role).To(Equal(turmericwall.RoleDecode))
 }
@@ -141,38 +143,38 @@
 func TestLostPrefillEnginesAreReplacedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(0, 14)
-	r, at := quiet(list)
+	r, at := settledPlanner(list)
 	changes := r.Plan(at, plan, list, busy)
 	g.Expect(changes).To(HaveLen(1))
 	g.Expect(changes[0].Role).To(Equal(turmericwall.RolePrefill))
 	g.Expect(r.Plan(at.Add(time.Second), plan, list, busy)).To(BeEmpty())
 }
 
-// An order without an answer may be carried out seconds later. The engine is not ordered again meanwhile.
+// An order without a reply may still be carried out seconds later. The engine must not be ordered again until then.
 func TestAnUnansweredOrderIsNotRepeated(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(7, 11)
-	r, at := quiet(list)
+	r, at := settledPlanner(list)
 	changes := r.Plan(at, plan, list, idle)
 	g.Expect(r.Plan(at.Add(5*time.Second), plan, list, idle)).To(BeEmpty())
-	r.Declined(changes[0].Upstream.ID)
+	r.DiscardChange(changes[0].Upstream.ID)
 	g.Expect(r.Plan(at.Add(6*time.Second), plan, list, idle)).To(HaveLen(1))
 }
 
 func TestASingleEngineKeepsItsRole(t *testing.T) {
 	g := NewWithT(t)
-	r, at := quiet(engines(0, 1))
+	r, at := settledPlanner(engines(0, 1))
 	g.Expect(r.Plan(at, plan, engines(0, 1), idle)).To(BeEmpty())
 }
 
-// The split is weighed for services of all sizes: each role keeps an engine, and nearly all of what could be served is.
+// For services of all sizes, the split must follow the cost of calls, and each role must keep an engine.
 func TestTheSplitFollowsTheLoadAtAllSizes(t *testing.T) {
 	g := NewWithT(t)
 	for _, total := range []int{3, 6, 12, 18, 60} {
-		for _, cost := range []turmericwall.CallCost{answering, reading, {ReadMillis: 300, AnswerMillis: 100}} {
+		for _, cost := range []turmericwall.CallCost{decodeHeavy, prefillHeavy, {ReadMillis: 300, AnswerMillis: 100}} {
 			list := engines(total/2, total-total/2)
-			r, at := quiet(list)
-			need := load(cost, spare, spare)
+			r, at := settledPlanner(list)
+			need := busyNeed(cost, surplus, surplus)
 			need.Busy = false
 			prefills := total / 2
 			for _, c := range r.Plan(at, plan, list, need) {
@@ -182,8 +184,8 @@
 					prefills--
 				}
 			}
-			wanted := float64(total) * cost.ReadMillis / (cost.ReadMillis + cost.AnswerMillis)
-			g.Expect(prefills).To(BeNumerically("~", wanted, 1), "%d engines, %+v", total, cost)
+			wantPrefills := float64(total) * cost.ReadMillis / (cost.ReadMillis + cost.AnswerMillis)
+			g.Expect(prefills).To(BeNumerically("~", wantPrefills, 1), "%d engines, %+v", total, cost)
 			g.Expect(prefills).To(And(BeNumerically(">", 0), BeNumerically("<", total)))
 		}
 	}
