--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twordering/orders.go
@@ -1,4 +1,5 @@
-// Package twordering gives engines the orders that the leader's plan of roles asks for.
+// Package twordering sends role orders to engines. While this daemon is the leader, it plans the roles of each
+// service's engines at short intervals and orders the engines that are due to change; no request waits for it.
 package twordering
 
 import (
@@ -11,43 +12,45 @@
 )
 
 const (
-	// planEvery is the pause between two looks at the roles.
-	planEvery = 500 * time.Millisecond
-	// orderLimit ends one order. It is well below a term, so that an order is answered or given up within it.
-	orderLimit = 600 * time.Millisecond
+	// planInterval is the time between two plans of the roles.
+	planInterval = 500 * time.Millisecond
+	// orderTimeout limits one order. It is well below a term, so that an order is answered or abandoned within the
+	// term.
+	orderTimeout = 600 * time.Millisecond
 )
 
-// Config says what the orders work with.
+// Config holds the dependencies of the orders.
 type Config struct {
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
 	Upstreams turmericwall.Upstreams
-	// Fence returns the fencing number while this daemon may give orders.
+	// Fence returns the fencing token; ok is false while this daemon does not hold the lease and must not order.
 	Fence func() (int64, bool)
 	Need  func(service string) turmericwall.EngineNeed
-	// Changed is called for an engine that accepted an order; by the time until its change is over.
-	Changed  func(id string, role turmericwall.Role, until time.Time)
+	// Changed is called for an engine that accepted an order; until is when its change has finished at the latest.
+	Changed func(id string, role turmericwall.Role, until time.Time)
+	// Holder is the name of this daemon, which each order carries with the fencing token.
 	Holder   string
 	Tuning   twroles.Tuning
 	Recorder turmericwall.Recorder
 }
 
-// Orders carries out the plans of roles of all services.
+// Orders plans and orders the role changes of all services.
 type Orders struct {
 	config Config
-	// mu guards the roles: calls are placed while orders are given.
-	mu    sync.Mutex
-	roles map[string]*twroles.Planner
+	// mu guards planners: calls are placed while orders are sent.
+	mu       sync.Mutex
+	planners map[string]*twroles.Planner
 }
 
-// New returns orders; none is given before Run.
+// New returns orders; none is sent before Run.
 func New(config Config) *Orders {
-	return &Orders{config: config, roles: make(map[string]*twroles.Planner)}
+	return &Orders{config: config, planners: make(map[string]*twroles.Planner)}
 }
 
-// Run gives the orders that are due until ctx ends.
+// Run sends the orders that are due until ctx is done. Without the lease it discards its plans.
 func (o *Orders) Run(ctx context.Context) error {
-	tick := time.NewTicker(planEvery)
+	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -57,25 +60,27 @@
 		}
 		if _, ok := o.config.Fence(); !ok {
 			o.mu.Lock()
-			clear(o.roles)
+			clear(o.planners)
 			o.mu.Unlock()
 			continue
 		}
 		for _, service := range o.config.Services() {
 			if service.Engine != nil {
-				o.service(ctx, service)
+				o.orderChanges(ctx, service)
 			}
 		}
 	}
 }
 
-func (o *Orders) service(ctx context.Context, service turmericwall.ServicePlan) {
-	for _, change := range o.plan(service) {
-		accepted, err := o.order(ctx, change)
-		o.settle(service.Name, change, accepted, err)
-		entry := o.config.Recorder.Record(turmericwall.EventRoleOrdered).Str("upstream", change.Upstream.ID).
-			Str("role", string(change.Role)).Int("prefills", int64(change.Prefills)).Int("decodes", int64(change.Decodes)).
-			Int("readMicros", int64(change.Cost.ReadMillis*1000)).Int("answerMicros", int64(change.Cost.AnswerMillis*1000))
+func (o *Orders) orderChanges(ctx context.Context, service turmericwall.ServicePlan) {
+	for _, change := range o.planChanges(service) {
+		accepted, err := o.sendOrder(ctx, change)
+		o.recordOutcome(service.Name, change, accepted, err)
+		entry := o.config.Recorder.Record(turmericwall.EventRoleOrdered).
+			Str("upstream", change.Upstream.ID).Str("role", string(change.Role)).
+			Int("prefills", int64(change.Prefills)).Int("decodes", int64(change.Decodes)).
+			Int("readMicros", int64(change.Cost.ReadMillis*1000)).
+			Int("answerMicros", int64(change.Cost.AnswerMillis*1000))
 		if err != nil {
 			entry = entry.Err(err)
 		}
@@ -86,39 +91,39 @@
 	}
 }
 
-// plan asks for what it needs before it takes the lock: who places calls asks here which engines change, and holds the
-// lock that Need waits for.
-func (o *Orders) plan(service turmericwall.ServicePlan) []twroles.Change {
+// planChanges reads the engines and the need before it locks mu. Placement holds a lock that Need waits for while it
+// checks which engines are changing their role.
+func (o *Orders) planChanges(service turmericwall.ServicePlan) []twroles.Change {
 	engines, need := o.config.Engines(service.Name), o.config.Need(service.Name)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	roles, ok := o.roles[service.Name]
+	planner, ok := o.planners[service.Name]
 	if !ok {
-		roles = twroles.New(o.config.Tuning)
-		o.roles[service.Name] = roles
+		planner = twroles.New(o.config.Tuning)
+		o.planners[service.Name] = planner
 	}
-	return roles.Plan(time.Now(), *service.Engine, engines, need)
+	return planner.Plan(time.Now(), *service.Engine, engines, need)
 }
 
-// settle notes how an order went. One without an answer may be carried out seconds later; the engine counts as
-// changing for the roles, and goes on taking work.
-func (o *Orders) settle(service string, change twroles.Change, accepted bool, err error) {
+// recordOutcome records whether the engine accepted the order. An order without a reply may still be carried out
+// seconds later: the planner keeps counting the engine as changing, but the engine continues to get calls.
+func (o *Orders) recordOutcome(service string, change twroles.Change, accepted bool, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	roles, ok := o.roles[service]
+	planner, ok := o.planners[service]
 	switch {
 	case !ok || err != nil:
 	case accepted:
 		o.config.Changed(change.Upstream.ID, change.Role, change.Until)
 	default:
-		roles.DiscardChange(change.Upstream.ID)
+		planner.DiscardChange(change.Upstream.ID)
 	}
 }
 
-// order sends one order. The number of orders that the engine took so far is read first: an order that is carried
-// out late, after another one, is then declined by the engine.
-func (o *Orders) order(ctx context.Context, change twroles.Change) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+// sendOrder sends one order. It first reads how many orders the engine has accepted and sends that number along, so
+// that the engine refuses an order that arrives late, after another one.
+func (o *Orders) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	load, err := o.config.Upstreams.Load(ctx, change.Upstream)
 	if err != nil {
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -16,13 +16,13 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twroles"
 )
 
-// engines takes orders and refuses all else.
+// engines accepts role orders and implements no other call.
 type engines struct {
 	turmericwall.Upstreams
-	orders chan turmericwall.RoleOrder
-	away   *twaway.Away
-	// fails is what each order gets in place of an answer.
-	fails error
+	orders      chan turmericwall.RoleOrder
+	roleChanges *twaway.Away
+	// orderErr is returned for each order.
+	orderErr error
 }
 
 func (e *engines) Load(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
@@ -31,13 +31,14 @@
 
 func (e *engines) ChangeRole(_ context.Context, _ turmericwall.Upstream, order turmericwall.RoleOrder) (bool, error) {
 	e.orders <- order
-	return e.fails == nil, e.fails
+	return e.orderErr == nil, e.orderErr
 }
 
-func run(t *testing.T, e *engines, fence func() (int64, bool), asked func()) {
+func startOrders(t *testing.T, e *engines, fence func() (int64, bool), onNeed func()) {
 	t.Helper()
 	list := []turmericwall.Upstream{
-		{ID: "a", Role: turmericwall.RolePrefill}, {ID: "b", Role: turmericwall.RolePrefill}, {ID: "c", Role: turmericwall.RoleDecode},
+		{ID: "a", Role: turmericwall.RolePrefill}, {ID: "b", Role: turmericwall.RolePrefill},
+		{ID: "c", Role: turmericwall.RoleDecode},
 	}
 	o := twordering.New(twordering.Config{
 		Services: func() []turmericwall.ServicePlan {
@@ -45,10 +46,10 @@
 		},
 		Engines: func(string) []turmericwall.Upstream { return list }, Upstreams: e, Fence: fence,
 		Need: func(string) turmericwall.EngineNeed {
-			asked()
+			onNeed()
 			return turmericwall.EngineNeed{}
 		},
-		Changed: e.away.Note, Holder: "me", Tuning: twroles.DefaultTuning(),
+		Changed: e.roleChanges.Note, Holder: "me", Tuning: twroles.DefaultTuning(),
 		Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -64,43 +65,47 @@
 }
 
 func newEngines() *engines {
-	return &engines{orders: make(chan turmericwall.RoleOrder, 10), away: twaway.New()}
+	return &engines{orders: make(chan turmericwall.RoleOrder, 10), roleChanges: twaway.New()}
 }
 
-// isAway tells that the engine, which still shows the role that it had, is away.
-func (e *engines) isAway(id string) bool {
-	return e.away.Is(time.Now(), turmericwall.Upstream{ID: id, Role: turmericwall.RolePrefill})
+// isChangingRole reports whether the engine, which still reports its old role, counts as changing it.
+func (e *engines) isChangingRole(id string) bool {
+	return e.roleChanges.Is(time.Now(), turmericwall.Upstream{ID: id, Role: turmericwall.RolePrefill})
 }
 
-// Calls are placed while the roles are planned: the books ask which engines change while they hold their own lock, and
-// the plan asked the books what calls need while it held its own. Both waited for ever, and with them all callers.
-func TestPlanningDoesNotWaitForPlacing(t *testing.T) {
+// Calls are placed while roles are planned. Placement holds its own lock while it checks which engines are changing.
+// When planning held its lock while it queried the need from placement, both waited forever, and all callers with
+// them.
+func TestPlanningDoesNotDeadlockWithPlacement(t *testing.T) {
 	g := NewWithT(t)
 	e := newEngines()
-	run(t, e, func() (int64, bool) { return 7, true }, func() {
-		answered := make(chan bool, 1)
-		go func() { answered <- e.isAway("a") }()
-		<-answered
+	startOrders(t, e, func() (int64, bool) { return 7, true }, func() {
+		checked := make(chan bool, 1)
+		go func() { checked <- e.isChangingRole("a") }()
+		<-checked
 	})
 	var order turmericwall.RoleOrder
 	g.Eventually(e.orders, "6s").Should(Receive(&order))
-	g.Expect(order).To(Equal(turmericwall.RoleOrder{Role: turmericwall.RoleDecode, Holder: "me", Fence: 7, OrderCount: 3}))
-	g.Eventually(func() bool { return e.isAway("b") }, "2s").Should(BeTrue())
+	g.Expect(order).To(Equal(turmericwall.RoleOrder{
+		Role: turmericwall.RoleDecode, Holder: "me", Fence: 7, OrderCount: 3,
+	}))
+	g.Eventually(func() bool { return e.isChangingRole("b") }, "2s").Should(BeTrue())
 }
 
-// An order without an answer may be carried out seconds later, or never. The engine goes on taking work meanwhile.
-func TestAnEngineThatGaveNoAnswerIsNotAway(t *testing.T) {
+// An order without a reply may be carried out seconds later, or never. The engine must continue to get calls
+// meanwhile.
+func TestAnUnansweredOrderDoesNotMarkTheEngineAsChanging(t *testing.T) {
 	g := NewWithT(t)
 	e := newEngines()
-	e.fails = errors.New("no answer")
-	run(t, e, func() (int64, bool) { return 7, true }, func() {})
+	e.orderErr = errors.New("no answer")
+	startOrders(t, e, func() (int64, bool) { return 7, true }, func() {})
 	g.Eventually(e.orders, "6s").Should(Receive())
-	g.Consistently(func() bool { return e.isAway("b") }, "1s").Should(BeFalse())
+	g.Consistently(func() bool { return e.isChangingRole("b") }, "1s").Should(BeFalse())
 }
 
 func TestNoOrderWithoutTheLease(t *testing.T) {
 	g := NewWithT(t)
 	e := newEngines()
-	run(t, e, func() (int64, bool) { return 0, false }, func() {})
+	startOrders(t, e, func() (int64, bool) { return 0, false }, func() {})
 	g.Consistently(e.orders, "3s").ShouldNot(Receive())
 }
