--- a/internal/placement/twinventory/inventory.go
+++ b/internal/placement/twinventory/inventory.go
@@ -1,4 +1,5 @@
-// Package twinventory asks engines which prompts they keep when this daemon becomes the leader.
+// Package twinventory queries which prompts the decode engines have cached. A daemon does so when it becomes the
+// leader, so that calls are placed where their prompts are cached.
 package twinventory
 
 import (
@@ -9,71 +10,75 @@
 )
 
 const (
-	// askLimit ends one ask: a leader decides from 200 ms after it has taken the lease on.
-	askLimit = 250 * time.Millisecond
-	// mostAsked is how many engines are asked at the same time: each ask opens a connection.
-	mostAsked = 64
+	// queryTimeout limits one query. A new leader starts to decide 200 ms after it has taken the lease.
+	queryTimeout = 250 * time.Millisecond
+	// maxConcurrentQueries bounds the engines queried at the same time, because each query opens a connection.
+	maxConcurrentQueries = 64
 )
 
-// Config says whom to ask and whom to tell.
+// Config holds the dependencies of an inventory.
 type Config struct {
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
 	Upstreams turmericwall.Upstreams
-	// Keeps takes what an engine keeps.
+	// Keeps records the prompts that an engine has cached.
 	Keeps    func(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt)
 	Recorder turmericwall.Recorder
 }
 
-// Inventory asks the engines.
+// Inventory queries the cached prompts of the decode engines.
 type Inventory struct {
-	config Config
-	wanted chan struct{}
+	config    Config
+	requested chan struct{}
 }
 
-// New returns an inventory; nothing is asked before Run and Want.
-func New(config Config) *Inventory { return &Inventory{config: config, wanted: make(chan struct{}, 1)} }
+// New returns an inventory. Nothing is queried before Run and Want.
+func New(config Config) *Inventory {
+	return &Inventory{config: config, requested: make(chan struct{}, 1)}
+}
 
-// Want has the engines asked once.
+// Want starts one query of all engines; it never blocks.
 //
-// A new leader knows nothing of the callers that its predecessor served. After a loss of power they all come back at once;
-// their prompts are still kept, and would be read again before those of fresh calls.
+// A new leader does not know the callers that its predecessor served. After a power failure they all retry at once.
+// Their prompts are still cached, but a leader that does not know this has them prefilled again, ahead of those of new
+// calls.
 func (i *Inventory) Want() {
 	select {
-	case i.wanted <- struct{}{}:
+	case i.requested <- struct{}{}:
 	default:
 	}
 }
 
-// Run asks whenever that is wanted until ctx ends.
+// Run queries the engines whenever Want was called, until ctx is done.
 func (i *Inventory) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-i.wanted:
+		case <-i.requested:
 		}
-		i.askAll(ctx)
+		i.queryAll(ctx)
 	}
 }
 
-// askAll asks all engines that answer, some at a time, and returns when all have answered or their time is over.
-func (i *Inventory) askAll(ctx context.Context) {
-	free := make(chan struct{}, mostAsked)
-	for _, engine := range i.answerers() {
-		free <- struct{}{}
+// queryAll queries all decode engines, at most maxConcurrentQueries at a time, and returns when each has answered or
+// timed out.
+func (i *Inventory) queryAll(ctx context.Context) {
+	slots := make(chan struct{}, maxConcurrentQueries)
+	for _, engine := range i.decodeEngines() {
+		slots <- struct{}{}
 		go func() {
-			i.ask(ctx, engine)
-			<-free
+			i.query(ctx, engine)
+			<-slots
 		}()
 	}
-	for range mostAsked {
-		free <- struct{}{}
+	for range maxConcurrentQueries {
+		slots <- struct{}{}
 	}
 }
 
-// answerers are the decode engines of all services that stay.
-func (i *Inventory) answerers() []turmericwall.Upstream {
+// decodeEngines returns the decode engines of all services except those that are leaving.
+func (i *Inventory) decodeEngines() []turmericwall.Upstream {
 	var list []turmericwall.Upstream
 	for _, service := range i.config.Services() {
 		if service.Engine == nil {
@@ -88,8 +93,8 @@
 	return list
 }
 
-func (i *Inventory) ask(ctx context.Context, engine turmericwall.Upstream) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (i *Inventory) query(ctx context.Context, engine turmericwall.Upstream) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	prompts, err := i.config.Upstreams.Kept(ctx, engine)
 	if err != nil {
--- a/internal/placement/twinventory/inventory_test.go
+++ b/internal/placement/twinventory/inventory_test.go
@@ -16,54 +16,57 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twinventory"
 )
 
-// engines keep a prompt each, but for those that don't answer.
+// engines have one cached prompt each, except for the unresponsive ones.
 type engines struct {
 	turmericwall.Upstreams
-	mu     sync.Mutex
-	silent map[string]bool
-	kept   map[string][]turmericwall.KeptPrompt
-	// asked are the asks under way, most the most of them so far.
-	asked, most int
+	mu              sync.Mutex
+	unresponsive    map[string]bool
+	recordedPrompts map[string][]turmericwall.KeptPrompt
+	// active is the number of queries under way, maxActive the highest number so far.
+	active, maxActive int
 }
 
-func (e *engines) begin(n int) {
+func (e *engines) addActive(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked += n
-	e.most = max(e.most, e.asked)
+	e.active += n
+	e.maxActive = max(e.maxActive, e.active)
 }
 
 func (e *engines) Kept(ctx context.Context, to turmericwall.Upstream) ([]turmericwall.KeptPrompt, error) {
-	e.begin(1)
-	defer e.begin(-1)
-	if e.silent[to.ID] {
+	e.addActive(1)
+	defer e.addActive(-1)
+	if e.unresponsive[to.ID] {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
 	}
 	return []turmericwall.KeptPrompt{{Subject: "of " + to.ID, Tokens: 5000}}, nil
 }
 
-func (e *engines) keeps(_ string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
+func (e *engines) record(_ string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.kept[engine.ID] = prompts
+	e.recordedPrompts[engine.ID] = prompts
 }
 
-func (e *engines) told() map[string][]turmericwall.KeptPrompt {
+func (e *engines) recorded() map[string][]turmericwall.KeptPrompt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := make(map[string][]turmericwall.KeptPrompt)
-	for id, prompts := range e.kept {
-		kept[id] = prompts
+	recorded := make(map[string][]turmericwall.KeptPrompt)
+	for id, prompts := range e.recordedPrompts {
+		recorded[id] = prompts
 	}
-	return kept
+	return recorded
 }
 
-// A daemon becomes the leader after all lost power. One engine is dark; what the others keep is known at once all the
-// same. Engines that read prompts, or leave, are not asked.
-func TestADarkEngineDoesNotHoldTheOthersUp(t *testing.T) {
+// A daemon becomes the leader after a power failure and one engine does not answer. The prompts cached by the others
+// must be recorded without delay. Prefill engines and leaving engines are not queried.
+func TestAnUnresponsiveEngineDoesNotDelayTheOthers(t *testing.T) {
 	g := NewWithT(t)
-	e := &engines{silent: map[string]bool{"dark": true}, kept: make(map[string][]turmericwall.KeptPrompt)}
+	e := &engines{
+		unresponsive:    map[string]bool{"dark": true},
+		recordedPrompts: make(map[string][]turmericwall.KeptPrompt),
+	}
 	i := twinventory.New(twinventory.Config{
 		Services: func() []turmericwall.ServicePlan {
 			return []turmericwall.ServicePlan{{Name: "plain"}, {Name: "s", Engine: &turmericwall.EnginePlan{}}}
@@ -76,24 +79,26 @@
 				{ID: "c", Role: turmericwall.RolePrefill},
 			}
 		},
-		Upstreams: e, Keeps: e.keeps, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		Upstreams: e, Keeps: e.record, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- i.Run(ctx) }()
-	g.Consistently(e.told, "50ms").Should(BeEmpty())
+	done := make(chan error, 1)
+	go func() { done <- i.Run(ctx) }()
+	g.Consistently(e.recorded, "50ms").Should(BeEmpty())
 	i.Want()
-	g.Eventually(e.told, "200ms").Should(Equal(map[string][]turmericwall.KeptPrompt{"a": {{Subject: "of a", Tokens: 5000}}}))
+	g.Eventually(e.recorded, "200ms").Should(Equal(map[string][]turmericwall.KeptPrompt{
+		"a": {{Subject: "of a", Tokens: 5000}},
+	}))
 	time.Sleep(300 * time.Millisecond)
 	stop()
-	g.Eventually(ended, "1s").Should(Receive())
+	g.Eventually(done, "1s").Should(Receive())
 }
 
-// There are thousands of engines. Asked all at once, they would take a connection each from a daemon with a few thousand
-// descriptors.
-func TestManyEnginesAreAskedSomeAtATime(t *testing.T) {
+// There may be thousands of engines. Queried all at once, they would take a connection each from a daemon that is
+// limited to a few thousand descriptors.
+func TestQueriesStayWithinTheConcurrencyLimit(t *testing.T) {
 	g := NewWithT(t)
-	e := &engines{kept: make(map[string][]turmericwall.KeptPrompt)}
+	e := &engines{recordedPrompts: make(map[string][]turmericwall.KeptPrompt)}
 	i := twinventory.New(twinventory.Config{
 		Services: func() []turmericwall.ServicePlan {
 			return []turmericwall.ServicePlan{{Name: "s", Engine: &turmericwall.EnginePlan{}}}
@@ -105,14 +110,14 @@
 			}
 			return list
 		},
-		Upstreams: e, Keeps: e.keeps, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		Upstreams: e, Keeps: e.record, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- i.Run(ctx) }()
+	done := make(chan error, 1)
+	go func() { done <- i.Run(ctx) }()
 	i.Want()
-	g.Eventually(func() int { return len(e.told()) }, "5s").Should(Equal(1000))
+	g.Eventually(func() int { return len(e.recorded()) }, "5s").Should(Equal(1000))
 	stop()
-	g.Eventually(ended, "1s").Should(Receive())
-	g.Expect(e.most).To(BeNumerically("<=", 64))
+	g.Eventually(done, "1s").Should(Receive())
+	g.Expect(e.maxActive).To(BeNumerically("<=", 64))
 }
