--- a/internal/placement/twbaseline/baseline.go
+++ b/internal/placement/twbaseline/baseline.go
@@ -1,5 +1,5 @@
-// Package twbaseline holds simple placement policies: round robin, least loaded and prefix affinity. They decide in place
-// of twscheduler's policy when the settings name one of them, and serve to compare it with.
+// Package twbaseline holds simple placement policies: round robin, least loaded and prefix affinity. They decide in
+// place of twscheduler's policy when the settings name one of them, and serve to compare it with.
 package twbaseline
 
 import (
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -37,7 +37,8 @@
 func startOrders(t *testing.T, e *engines, fence func() (int64, bool), onNeed func()) {
 	t.Helper()
 	list := []turmericwall.Upstream{
-		{ID: "a", Role: turmericwall.RolePrefill}, {ID: "b", Role: turmericwall.RolePrefill},
+		{ID: "a", Role: turmericwall.RolePrefill},
+		{ID: "b", Role: turmericwall.RolePrefill},
 		{ID: "c", Role: turmericwall.RoleDecode},
 	}
 	o := twordering.New(twordering.Config{
--- a/internal/placement/twscheduler/bench_test.go
+++ b/internal/placement/twscheduler/bench_test.go
@@ -48,8 +48,8 @@
 			for i := 0; b.Loop(); i++ {
 				now := start.Add(time.Duration(i%1000) * time.Millisecond)
 				s.Step(now, turmericwall.Arrival{
-					Attempt: "o:1/1", Model: model, Work: "w", Urgent: true, Worth: 1, PromptTokens: 1000, MaxTokens: 50,
-					Blocks: blocks, FirstTokenDeadline: now.Add(time.Hour),
+					Attempt: "o:1/1", Model: model, Work: "w", Urgent: true, Worth: 1,
+					PromptTokens: 1000, MaxTokens: 50, Blocks: blocks, FirstTokenDeadline: now.Add(time.Hour),
 				})
 				s.Step(now, turmericwall.Finished{Ending: turmericwall.Ending{Attempt: "o:1/1"}})
 			}
--- a/internal/placement/twscheduler/dispatch.go
+++ b/internal/placement/twscheduler/dispatch.go
@@ -83,7 +83,9 @@
 // slot became free now.
 func (s *Scheduler) refuseExpired(now time.Time) {
 	for _, q := range s.queues {
-		for _, w := range q.remove(func(w *entry) bool { return pastGiveUpDeadline(now, w) || pastLatestStart(now, w) }) {
+		for _, w := range q.remove(func(w *entry) bool {
+			return pastGiveUpDeadline(now, w) || pastLatestStart(now, w)
+		}) {
 			s.refuse(now, w.arrival, "no decode place became free in time")
 		}
 	}
--- a/internal/placement/twscheduler/session_test.go
+++ b/internal/placement/twscheduler/session_test.go
@@ -150,7 +150,8 @@
 		Report: turmericwall.Report{
 			Role: turmericwall.Role(r.Role), Models: []string{modelOrDefault(r.Model)}, AgeMillis: r.Age,
 			Attempts: r.Attempts, Slots: r.Slots, Pieces: pieces, QueuedTokens: r.Queued, UrgentTokens: r.Urgent,
-			Draining: r.Draining, PrefillRate: prefillRate, StepMillis: stepMillis, StepPerSlotMillis: stepPerSlotMillis,
+			Draining: r.Draining, PrefillRate: prefillRate,
+			StepMillis: stepMillis, StepPerSlotMillis: stepPerSlotMillis,
 		},
 	}
 }
@@ -158,7 +159,8 @@
 func (a *arrival) event(now time.Time) turmericwall.Event {
 	return turmericwall.Arrival{
 		Attempt: a.Attempt, Model: modelOrDefault(a.Model), Work: a.Work, Urgent: a.Urgent, Worth: a.Worth,
-		PromptTokens: a.Prompt, MaxTokens: a.Max, Blocks: a.Blocks, FirstTokenDeadline: deadline(now, a.First), GiveUpDeadline: deadline(now, a.GiveUp),
+		PromptTokens: a.Prompt, MaxTokens: a.Max, Blocks: a.Blocks,
+		FirstTokenDeadline: deadline(now, a.First), GiveUpDeadline: deadline(now, a.GiveUp),
 		Resumed: a.Resumed, Avoid: a.Avoid, Prefilled: a.Prefilled, TokenGapMillis: 54,
 	}
 }
