--- a/internal/once/twclaim/claims_test.go
+++ b/internal/once/twclaim/claims_test.go
@@ -20,8 +20,8 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twmemory"
 )
 
-// writer fails or loses the answer of the next writes.
-type writer struct {
+// faultyWriter fails the next writes, or applies them and loses the answer.
+type faultyWriter struct {
 	table *twmemory.Table
 
 	mu   sync.Mutex
@@ -29,31 +29,32 @@
 	lose int
 }
 
-// disturb makes the next write fail, or lose its answer.
-func (w *writer) disturb(fail, lose int) {
+// injectFaults sets how many of the next writes fail, and how many lose their answer.
+func (w *faultyWriter) injectFaults(fail, lose int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fail, w.lose = fail, lose
 }
 
-var errDown = turmericwall.NewProblem(turmericwall.KindStoreUnavailable, "down", "wait")
+var errStoreUnavailable = turmericwall.NewProblem(
+	turmericwall.KindStoreUnavailable, "the store is unavailable", "retry later")
 
-func (w *writer) Write(ctx context.Context, writes ...turmericwall.Write) error {
+func (w *faultyWriter) Write(ctx context.Context, writes ...turmericwall.Write) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.fail > 0 {
 		w.fail--
-		return errDown
+		return errStoreUnavailable
 	}
 	err := w.table.Commit(ctx, turmericwall.Transaction{Token: uuid.NewString(), Writes: writes})
 	if err == nil && w.lose > 0 {
 		w.lose--
-		return errDown
+		return errStoreUnavailable
 	}
 	return err
 }
 
-// cluster is several daemons on one table.
+// cluster is a group of daemons that share one table; it implements turmericwall.Peers for all of them.
 type cluster struct {
 	daemons map[string]*daemon
 }
@@ -62,7 +63,7 @@
 	name     string
 	cluster  *cluster
 	alive    bool
-	writer   *writer
+	writer   *faultyWriter
 	registry *twattempt.Registry
 	claims   *twclaim.Claims
 }
@@ -91,26 +92,30 @@
 
 func (c *cluster) Self() string { return "" }
 
-type silent struct{}
+// discardRecorder discards all log events.
+type discardRecorder struct{}
 
-func (silent) Record(turmericwall.EventID) turmericwall.LogEntry { return silent{} }
-func (s silent) Str(string, string) turmericwall.LogEntry        { return s }
-func (s silent) Int(string, int64) turmericwall.LogEntry         { return s }
-func (s silent) Float(string, float64) turmericwall.LogEntry     { return s }
-func (s silent) Err(error) turmericwall.LogEntry                 { return s }
-func (silent) Send()                                             {}
+func (discardRecorder) Record(turmericwall.EventID) turmericwall.LogEntry { return discardRecorder{} }
+func (s discardRecorder) Str(string, string) turmericwall.LogEntry        { return s }
+func (s discardRecorder) Int(string, int64) turmericwall.LogEntry         { return s }
+func (s discardRecorder) Float(string, float64) turmericwall.LogEntry     { return s }
+func (s discardRecorder) Err(error) turmericwall.LogEntry                 { return s }
+func (discardRecorder) Send()                                             {}
 
-// newCluster starts daemons; stop ends their recorders.
+// newCluster starts the named daemons; stop ends their recorders and waits for them.
 func newCluster(names ...string) (c *cluster, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ends := make(chan error)
 	c = &cluster{daemons: make(map[string]*daemon)}
 	table := twmemory.New()
 	for _, name := range names {
-		d := &daemon{name: name, cluster: c, alive: true, writer: &writer{table: table}, registry: twattempt.New(name)}
+		d := &daemon{
+			name: name, cluster: c, alive: true,
+			writer: &faultyWriter{table: table}, registry: twattempt.New(name),
+		}
 		d.claims = twclaim.New(twclaim.Config{
 			Incarnation: name, Table: table, Writer: d.writer, Peers: c, Registry: d.registry,
-			Clock: clockwork.NewRealClock(), Recorder: silent{},
+			Clock: clockwork.NewRealClock(), Recorder: discardRecorder{},
 		})
 		c.daemons[name] = d
 		go func() { ends <- d.claims.Run(ctx) }()
@@ -127,15 +132,15 @@
 	return twclaim.Call{Account: "a", Service: "s", Key: key, BodyHash: "b"}
 }
 
-// outcomes of one performed call.
+// Outcomes of one performed call.
 const (
-	performAnswers = iota
-	performFailsBefore
-	performFailsAfter
-	performFreezes
+	performAnswered = iota
+	performFailsBeforeSend
+	performFailsAfterSend
+	performSuspended
 )
 
-// run is one call under way or ended.
+// run is one call that is running or has ended.
 type run struct {
 	key     string
 	ran     bool
@@ -145,20 +150,21 @@
 	ended   chan struct{}
 }
 
-// start makes a call and returns when it has ended, or is frozen between claim and send.
+// start makes a call and returns when it has ended, or is suspended between claim and send.
 func (d *daemon) start(key string, outcome int, ran map[string]int) *run {
 	r := &run{key: key, resume: make(chan struct{}), reached: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(r.ended)
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, err := d.claims.Do(ctx, call(key), func(_ context.Context, beforeSend func() error) (*twclaim.Answer, error) {
-			if outcome == performFreezes {
-				close(r.reached)
-				<-r.resume
-			}
-			return d.perform(key, outcome, beforeSend, r, ran)
-		})
+		_, err := d.claims.Do(ctx, call(key),
+			func(_ context.Context, beforeSend func() error) (*twclaim.Answer, error) {
+				if outcome == performSuspended {
+					close(r.reached)
+					<-r.resume
+				}
+				return d.perform(key, outcome, beforeSend, r, ran)
+			})
 		var problem *turmericwall.Problem
 		r.notRun = errors.As(err, &problem) && problem.Outcome() == turmericwall.OutcomeNotRun
 	}()
@@ -169,86 +175,89 @@
 	return r
 }
 
-func (d *daemon) perform(key string, outcome int, beforeSend func() error, r *run, ran map[string]int) (*twclaim.Answer, error) {
-	if outcome == performFailsBefore {
-		return nil, turmericwall.NewProblem(turmericwall.KindNoUpstream, "none", "wait")
+func (d *daemon) perform(
+	key string, outcome int, beforeSend func() error, r *run, ran map[string]int,
+) (*twclaim.Answer, error) {
+	if outcome == performFailsBeforeSend {
+		return nil, turmericwall.NewProblem(turmericwall.KindNoUpstream, "the service has no upstream", "retry later")
 	}
 	if err := beforeSend(); err != nil {
 		return nil, err
 	}
 	r.ran = true
 	ran[key]++
-	if outcome == performFailsAfter {
+	if outcome == performFailsAfterSend {
 		return nil, errors.New("reset")
 	}
 	return twclaim.AnswerOf(http.StatusOK, nil, []byte(key)), nil
 }
 
-// Daemons get calls under the same keys in any order. Claims fail, their answers are lost, upstreams
-// fail before or after sending, daemons freeze between claim and send, are asked about meanwhile, and
-// die. No key runs twice, and a call that was refused as not run did not run.
-func TestAtMostOnceInAnyOrder(t *testing.T) {
+// Guards against a call that runs twice, and against a call that is refused as not run although it ran. Daemons
+// receive calls under the same keys in any order, while claim writes fail or lose their answers, upstreams fail
+// before or after the call is sent, and daemons are suspended between claim and send, are queried meanwhile, and
+// terminate.
+func TestKeyRunsAtMostOnceInAnyOrderOfFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		names := []string{"one", "two", "three"}
 		c, stop := newCluster(names...)
 		defer stop()
 		ran := make(map[string]int)
-		var frozen []*run
+		var suspended []*run
 		for range rapid.IntRange(1, 12).Draw(t, "calls") {
 			d := c.daemons[rapid.SampledFrom(names).Draw(t, "daemon")]
 			key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")
-			d.writer.disturb(rapid.IntRange(0, 5).Draw(t, "fail")/5, rapid.IntRange(0, 4).Draw(t, "lose")/4)
-			r := d.start(key, rapid.IntRange(performAnswers, performFreezes).Draw(t, "outcome"), ran)
+			d.writer.injectFaults(rapid.IntRange(0, 5).Draw(t, "fail")/5, rapid.IntRange(0, 4).Draw(t, "lose")/4)
+			r := d.start(key, rapid.IntRange(performAnswered, performSuspended).Draw(t, "outcome"), ran)
 			select {
 			case <-r.ended:
-				g.Expect(r.notRun && r.ran).To(BeFalse(), "not run, but it ran")
+				g.Expect(r.notRun && r.ran).To(BeFalse(), "the call was refused as not run, but it ran")
 			default:
-				frozen = append(frozen, r)
+				suspended = append(suspended, r)
 			}
 			if rapid.IntRange(0, 7).Draw(t, "dies") == 0 {
 				d.alive = !d.alive
 			}
 		}
-		for _, r := range frozen {
+		for _, r := range suspended {
 			close(r.resume)
 			<-r.ended
-			g.Expect(r.notRun && r.ran).To(BeFalse(), "not run, but it ran")
+			g.Expect(r.notRun && r.ran).To(BeFalse(), "the call was refused as not run, but it ran")
 		}
 		for key, count := range ran {
-			g.Expect(count).To(BeNumerically("<=", 1), fmt.Sprintf("%s ran %d times", key, count))
+			g.Expect(count).To(BeNumerically("<=", 1), fmt.Sprintf("key %s ran %d times", key, count))
 		}
 	})
 }
 
-// The claim's row is written, but the daemon never hears of it: it says notRun, and its attempt is
-// sealed. Another daemon finds the row, asks the owner, and may run the call, once.
+// The claim's row is written but the answer to the write is lost: the daemon refuses the call as not run and seals
+// its attempt. Another daemon reads the row, queries the owner, and runs the call once.
 func TestSealedClaimIsTakenOver(t *testing.T) {
 	g := NewWithT(t)
 	c, stop := newCluster("one", "two")
 	defer stop()
 	ran := make(map[string]int)
-	c.daemons["one"].writer.disturb(0, 1)
-	first := c.daemons["one"].start("k", performAnswers, ran)
+	c.daemons["one"].writer.injectFaults(0, 1)
+	first := c.daemons["one"].start("k", performAnswered, ran)
 	g.Expect(first.notRun).To(BeTrue())
-	second := c.daemons["two"].start("k", performAnswers, ran)
+	second := c.daemons["two"].start("k", performAnswered, ran)
 	g.Expect(second.ran).To(BeTrue())
 	g.Expect(ran["k"]).To(Equal(1))
 }
 
-// The owner of a written claim can't be asked. Nobody can know whether it ran: the answer is unknown,
-// and the call is not run elsewhere.
-func TestClaimOfAnUnreachableOwnerIsUnknown(t *testing.T) {
+// The owner of a written claim is unreachable, so no other daemon can tell whether the call ran: the outcome is
+// unknown, and the call is not run by another daemon.
+func TestClaimOfUnreachableOwnerHasUnknownOutcome(t *testing.T) {
 	g := NewWithT(t)
 	c, stop := newCluster("one", "two")
 	defer stop()
 	ran := make(map[string]int)
-	frozen := c.daemons["one"].start("k", performFreezes, ran)
+	suspended := c.daemons["one"].start("k", performSuspended, ran)
 	c.daemons["one"].alive = false
-	second := c.daemons["two"].start("k", performAnswers, ran)
+	second := c.daemons["two"].start("k", performAnswered, ran)
 	g.Expect(second.ran).To(BeFalse())
 	g.Expect(second.notRun).To(BeFalse())
-	close(frozen.resume)
-	<-frozen.ended
+	close(suspended.resume)
+	<-suspended.ended
 	g.Expect(ran["k"]).To(Equal(1))
 }
--- a/internal/once/twclaim/record.go
+++ b/internal/once/twclaim/record.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// partitions spread the claims over the daemons that clear them away.
+// partitions is the number of key prefixes of claim rows; a daemon that deletes expired claims lists one prefix at
+// a time.
 const partitions = 64
 
-// state is what a claim's row says.
+// state is the state of a call as recorded in its claim's row.
 type state string
 
 const (
@@ -22,7 +23,7 @@
 	stateDone    state = "done"
 )
 
-// record is the row of one claim.
+// record is the stored value of a claim's row.
 type record struct {
 	BodyHash string    `json:"bodyHash"`
 	Attempt  string    `json:"attempt"`
@@ -32,27 +33,28 @@
 	Answer   *Answer   `json:"answer,omitempty"`
 }
 
-// Answer is the recorded answer of a call.
+// Answer is the answer to a call. It is stored in the claim's row and replayed to a caller that retries.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
-	// Replayed is set on an answer that comes from the record.
+	// Replayed is set when the answer was read from the claim's row instead of received from the upstream.
 	Replayed bool `json:"-"`
 }
 
-// Call names one non-idempotent call.
+// Call identifies one non-idempotent call.
 type Call struct {
 	Account string
 	Service string
-	Key     string
-	// BodyHash tells two calls under one key apart.
+	// Key is the caller's Idempotency-Key.
+	Key string
+	// BodyHash is the hash of the call, by which a retry differs from another call under the same key; see HashOf.
 	BodyHash string
-	// Repeatable calls may run again when their owner is gone; their answer is still recorded once.
+	// Repeatable calls may run again after their owner has terminated; only one answer is recorded.
 	Repeatable bool
 }
 
-// HashOf returns the hash of all that makes a call the same call.
+// HashOf returns the hash of the parts of a call that a retry must repeat unchanged.
 func HashOf(method, path, query string, body []byte) string {
 	digest := sha256.New()
 	for _, part := range []string{method, path, query} {
--- a/internal/once/twclaim/recording.go
+++ b/internal/once/twclaim/recording.go
@@ -11,46 +11,46 @@
 
 const (
 	recorders = 8
-	// lifetime is how long a claim keeps its key from running again.
-	lifetime = 24 * time.Hour
+	// claimLifetime is how long a claim keeps its key from running again.
+	claimLifetime = 24 * time.Hour
 )
 
-// recordSoon records an answer and waits a little for it, so that a caller that comes back with the key
-// finds the answer at any daemon.
-func (c *Claims) recordSoon(ctx context.Context, m *claim) {
-	m.done = make(chan error, 1)
-	if !c.queue(m) {
+// recordAnswer enqueues the claim's answer and waits up to recordWait until it is stored, so that a caller that
+// retries with the key gets the answer from any daemon.
+func (c *Claims) recordAnswer(ctx context.Context, held *claim) {
+	held.done = make(chan error, 1)
+	if !c.enqueue(held) {
 		return
 	}
 	timer := c.config.Clock.NewTimer(recordWait)
 	defer timer.Stop()
 	select {
-	case <-m.done:
+	case <-held.done:
 	case <-timer.Chan():
 	case <-ctx.Done():
 	}
 }
 
-// queue hands the claim to a recorder. When too many wait, the row stays as it is: it says running, its
-// owner knows better, and without the owner the outcome counts as unknown.
-func (c *Claims) queue(m *claim) bool {
+// enqueue hands the claim to a recorder. When the queue is full, the row keeps the state running: its owner can
+// still report the actual state, and without the owner the outcome is unknown.
+func (c *Claims) enqueue(held *claim) bool {
 	select {
-	case c.recording <- m:
+	case c.recording <- held:
 		return true
 	default:
 		return false
 	}
 }
 
-// Unrecorded counts the answers that wait for their record.
+// Unrecorded returns the number of claims in the queue of the recorders.
 func (c *Claims) Unrecorded() int { return len(c.recording) }
 
-// Run records answers and clears old claims away until ctx ends.
+// Run records claims that have ended and deletes expired ones until ctx ends.
 func (c *Claims) Run(ctx context.Context) error {
 	ends := make(chan struct{})
 	for range recorders {
 		go func() {
-			c.recordAll(ctx)
+			c.recordQueued(ctx)
 			ends <- struct{}{}
 		}()
 	}
@@ -61,35 +61,36 @@
 	return err
 }
 
-func (c *Claims) recordAll(ctx context.Context) {
+func (c *Claims) recordQueued(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-c.recording:
-			c.recordOne(ctx, m)
+		case held := <-c.recording:
+			c.recordOne(ctx, held)
 		}
 	}
 }
 
-// recordOne writes until the row says what happened, or another's row is there.
-func (c *Claims) recordOne(ctx context.Context, m *claim) {
+// recordOne retries the write of the claim's row until it succeeds, or until another daemon has written the row.
+func (c *Claims) recordOne(ctx context.Context, held *claim) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		err := c.write(ctx, m)
+		err := c.write(ctx, held)
 		if err == nil || turmericwall.IsConflict(err) {
 			break
 		}
-		pause(ctx, c.config.Clock, recordAgain)
+		sleep(ctx, c.config.Clock, recordRetryInterval)
 	}
-	if m.done != nil {
-		m.done <- ctx.Err()
+	if held.done != nil {
+		held.done <- ctx.Err()
 	}
 }
 
-func pause(ctx context.Context, clock clockwork.Clock, span time.Duration) {
-	timer := clock.NewTimer(span)
+// sleep waits for the duration or until ctx ends.
+func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
+	timer := clock.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.Chan():
@@ -97,8 +98,8 @@
 	}
 }
 
-// expired tells whether a claim is past its lifetime.
+// expired reports whether the claim in a row's value is past its lifetime.
 func expired(value []byte, now time.Time) bool {
 	r, err := decode(value)
-	return err == nil && now.After(r.At.Add(lifetime))
+	return err == nil && now.After(r.At.Add(claimLifetime))
 }
