--- a/internal/once/twattempt/registry.go
+++ b/internal/once/twattempt/registry.go
@@ -1,4 +1,5 @@
-// Package twattempt keeps how far this daemon's attempts of non-idempotent calls got.
+// Package twattempt tracks how far this daemon's attempts of non-idempotent calls got. twclaim asks it before a call
+// is sent; other daemons query it, through the peer server, before they take over a claim of this daemon.
 package twattempt
 
 import (
@@ -11,14 +12,14 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// maxEnded bounds the ended attempts that can still be asked after; an older one counts as unknown.
+// maxEnded bounds the ended attempts whose state is kept; the state of an older one is unknown.
 const maxEnded = 1 << 16
 
 // Registry implements turmericwall.AttemptOwner.
 //
-// A call must not be sent after someone was told that it did not run. Sealing and sending exclude each
-// other under one lock: whichever comes first wins, and a sealed attempt can never be sent, however
-// long its goroutine was paused in between.
+// A call must not be sent after a caller or a daemon was informed that it did not run. Sealing and sending exclude
+// each other under one lock: whichever comes first wins, and a sealed attempt can never be sent, however long its
+// goroutine was paused in between.
 type Registry struct {
 	incarnation string
 	sequence    atomic.Uint64
@@ -28,16 +29,16 @@
 	ended *simplelru.LRU[string, turmericwall.AttemptState]
 }
 
-// attemptWaiting was neither sealed nor sent yet.
+// attemptWaiting is the state of an attempt that is neither sealed nor sent yet.
 const attemptWaiting turmericwall.AttemptState = "waiting"
 
-// New returns an empty registry of the incarnation.
+// New returns an empty registry of the daemon's incarnation.
 func New(incarnation string) *Registry {
 	ended, _ := simplelru.NewLRU[string, turmericwall.AttemptState](maxEnded, nil)
 	return &Registry{incarnation: incarnation, open: make(map[string]turmericwall.AttemptState), ended: ended}
 }
 
-// Begin returns the name of a new attempt.
+// Begin registers a new attempt and returns its name, which is unique among all incarnations.
 func (r *Registry) Begin() string {
 	name := fmt.Sprintf("%s/c%d", r.incarnation, r.sequence.Add(1))
 	r.mu.Lock()
@@ -46,8 +47,9 @@
 	return name
 }
 
-// Send allows the attempt to be sent; it returns false once the attempt is sealed.
-func (r *Registry) Send(attempt string) bool {
+// MarkSent marks the attempt as sent. It returns false, and the attempt must not be sent, when the attempt is sealed,
+// was sent before or is not registered.
+func (r *Registry) MarkSent(attempt string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if state := r.open[attempt]; state != attemptWaiting {
@@ -57,7 +59,7 @@
 	return true
 }
 
-// Seal makes sure that the attempt is never sent; it returns false when it may have been.
+// Seal prevents the attempt from ever being sent. It returns false when the attempt may have been sent.
 func (r *Registry) Seal(attempt string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +75,7 @@
 	return true
 }
 
-// End notes the last state of an attempt that was sent.
+// End records the final state of an attempt that was sent.
 func (r *Registry) End(attempt string, state turmericwall.AttemptState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +84,8 @@
 	}
 }
 
-// State tells how far the attempt got. One that waits counts as running: its own claim decides soon.
+// State returns how far the attempt got. An attempt that is not sent yet counts as running, because it may be sent at
+// any time; one that is not registered, or is too old, is unknown.
 func (r *Registry) State(attempt string) turmericwall.AttemptState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,8 +98,8 @@
 	return turmericwall.AttemptUnknown
 }
 
-// Open counts the attempts that have not ended.
-func (r *Registry) Open() int {
+// OpenCount returns the number of attempts that have not ended.
+func (r *Registry) OpenCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.open)
--- a/internal/once/twattempt/registry_test.go
+++ b/internal/once/twattempt/registry_test.go
@@ -10,10 +10,9 @@
 	"github.com/turmericwall/turmericwall/internal/once/twattempt"
 )
 
-// Attempts are sealed, sent, ended and asked after in any order, as goroutines that were paused wake up.
-// Once somebody was told that an attempt is sealed it is never sent, and once it was sent nobody is told
-// that it is sealed.
-func TestSealedIsNeverSent(t *testing.T) {
+// Guards against an attempt that is sent after it was reported as sealed, and against one that is reported as sealed
+// after it was sent. The attempt is sealed, sent, ended and queried in any order, as paused goroutines would resume.
+func TestSealedAttemptIsNeverSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		r := twattempt.New("d:1")
@@ -22,14 +21,14 @@
 		for range rapid.IntRange(1, 10).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				if r.Send(name) {
-					g.Expect(sealed).To(BeFalse(), "sent although sealed")
-					g.Expect(sent).To(BeFalse(), "sent twice")
+				if r.MarkSent(name) {
+					g.Expect(sealed).To(BeFalse(), "the attempt was sent although it is sealed")
+					g.Expect(sent).To(BeFalse(), "the attempt was sent twice")
 					sent = true
 				}
 			case 1:
 				if r.Seal(name) {
-					g.Expect(sent).To(BeFalse(), "sealed although sent")
+					g.Expect(sent).To(BeFalse(), "the attempt was sealed although it was sent")
 					sealed = true
 				}
 			case 2:
@@ -43,24 +42,24 @@
 	})
 }
 
-// Two goroutines reach the same attempt at once, one to send and one to seal. Exactly one of them wins.
+// Two goroutines race for the same attempt, one to send it and one to seal it. Exactly one of them wins.
 func TestSealAndSendExcludeEachOther(t *testing.T) {
 	g := NewWithT(t)
 	r := twattempt.New("d:1")
 	for range 2000 {
 		name := r.Begin()
 		sent, sealed := make(chan bool), make(chan bool)
-		go func() { sent <- r.Send(name) }()
+		go func() { sent <- r.MarkSent(name) }()
 		go func() { sealed <- r.Seal(name) }()
 		g.Expect([]bool{<-sent, <-sealed}).To(ConsistOf(true, false))
 	}
 }
 
-// An attempt of another start of the daemon, or one that was forgotten, is unknown: never sealed.
+// An attempt of an earlier incarnation, or one whose state was evicted, is unknown: it is never reported as sealed.
 func TestUnknownAttemptIsNotSealed(t *testing.T) {
 	g := NewWithT(t)
 	r := twattempt.New("d:2")
 	g.Expect(r.State("d:1/c1")).To(Equal(turmericwall.AttemptUnknown))
 	g.Expect(r.Seal("d:1/c1")).To(BeFalse())
-	g.Expect(r.Send("d:1/c1")).To(BeFalse())
+	g.Expect(r.MarkSent("d:1/c1")).To(BeFalse())
 }
--- a/internal/once/twclaim/claims.go
+++ b/internal/once/twclaim/claims.go
@@ -107,7 +107,7 @@
 
 // beforeSend allows the attempt to be sent unless the caller has cancelled the call or the attempt is sealed.
 func (c *Claims) beforeSend(ctx context.Context, attempt string) error {
-	if ctx.Err() != nil || !c.config.Registry.Send(attempt) {
+	if ctx.Err() != nil || !c.config.Registry.MarkSent(attempt) {
 		return turmericwall.NewProblem(turmericwall.KindCancelled,
 			"the call was cancelled before it was sent", "send it again if it is still wanted")
 	}
