--- a/internal/once/twforward/forwarder.go
+++ b/internal/once/twforward/forwarder.go
@@ -1,4 +1,6 @@
-// Package twforward sends calls to the upstreams of plain services.
+// Package twforward sends calls to the upstreams of plain services. It chooses a live upstream, sends the call at most
+// once, and returns the upstream's response. The edge uses it for all calls of plain services; calls that are not
+// repeatable are claimed by twclaim first.
 package twforward
 
 import (
@@ -20,8 +22,10 @@
 
 const (
 	dialTimeout = time.Second
-	ejectedFor  = 2 * time.Second
-	maxDials    = 3
+	// ejectionTime is how long an upstream that failed is not chosen.
+	ejectionTime = 2 * time.Second
+	// maxDials bounds the upstreams that are tried for one call.
+	maxDials = 3
 )
 
 // Forwarder implements turmericwall.Forwarder.
@@ -31,18 +35,18 @@
 	recorder turmericwall.Recorder
 
 	mu      sync.Mutex
-	turn    int
+	next    int
 	ejected map[string]time.Time
 }
 
-// Config names what the forwarder chooses from.
+// Config holds the dependencies of a Forwarder.
 type Config struct {
 	Fleet    turmericwall.Fleet
 	Clock    clockwork.Clock
 	Recorder turmericwall.Recorder
 }
 
-// New returns a forwarder.
+// New returns a Forwarder without ejected upstreams.
 func New(config Config) *Forwarder {
 	return &Forwarder{
 		fleet:    config.Fleet,
@@ -52,12 +56,16 @@
 	}
 }
 
-// Forward connects to an upstream, asks beforeSend, and sends the call once.
+// Forward connects to an upstream, calls beforeSend, and sends the call once. It returns a *turmericwall.Problem of
+// kind KindNoUpstream when no connection was made and nothing was sent, the error of beforeSend when that fails, and
+// KindOutcomeUnknown when the call was sent and no response was received.
 //
-// Each call has a connection of its own. Go's transport sends a call again by itself when a reused
-// connection broke and the call carries an Idempotency-Key: a booking would be made twice. It never
-// does so on a connection that was not reused. It also keeps calls off connections that went silent.
-func (f *Forwarder) Forward(ctx context.Context, call turmericwall.ServiceCall, beforeSend func() error) (*http.Response, error) {
+// Each call has a connection of its own. Go's transport resends a call by itself when a reused connection breaks and
+// the call carries an Idempotency-Key: a booking would be made twice. It never does so on a connection that was not
+// reused. A new connection also keeps the call off connections that no longer respond.
+func (f *Forwarder) Forward(
+	ctx context.Context, call turmericwall.ServiceCall, beforeSend func() error,
+) (*http.Response, error) {
 	connection, vm, err := f.connect(ctx, call)
 	if err != nil {
 		return nil, err
@@ -68,9 +76,11 @@
 	}
 	response, err := f.send(ctx, call, vm, connection)
 	if err != nil {
-		f.eject(vm.Name, f.clock.Now().Add(ejectedFor))
-		return nil, turmericwall.NewProblem(turmericwall.KindOutcomeUnknown, "the service gave no whole answer",
-			"ask the service before sending the call under another key").WithOutcome(turmericwall.OutcomeUnknown).WithCause(err)
+		f.eject(vm.Name, f.clock.Now().Add(ejectionTime))
+		return nil, turmericwall.NewProblem(turmericwall.KindOutcomeUnknown,
+			"the upstream's response was missing or incomplete",
+			"ask the service before sending the call under another key").
+			WithOutcome(turmericwall.OutcomeUnknown).WithCause(err)
 	}
 	if response.StatusCode == http.StatusServiceUnavailable {
 		f.eject(vm.Name, twbackoff.RetryAt(f.clock.Now(), response.Header))
@@ -78,11 +88,11 @@
 	return response, nil
 }
 
-// connect tries upstreams until one accepts a connection; nothing has been sent then.
+// connect dials up to maxDials upstreams until one accepts a connection. It sends nothing.
 func (f *Forwarder) connect(ctx context.Context, call turmericwall.ServiceCall) (net.Conn, turmericwall.VM, error) {
-	var last error
+	var lastErr error
 	for range maxDials {
-		vm, ok := f.choose(call.Service)
+		vm, ok := f.chooseUpstream(call.Service)
 		if !ok {
 			break
 		}
@@ -91,18 +101,20 @@
 		if err == nil {
 			return connection, vm, nil
 		}
-		last = err
-		f.eject(vm.Name, f.clock.Now().Add(ejectedFor))
+		lastErr = err
+		f.eject(vm.Name, f.clock.Now().Add(ejectionTime))
 	}
 	return nil, turmericwall.VM{}, turmericwall.NewProblem(turmericwall.KindNoUpstream,
 		fmt.Sprintf("no upstream of service %q accepts a connection", call.Service),
-		"come back later").WithRetryAt(f.clock.Now().Add(ejectedFor)).WithCause(last)
+		"retry at the time in Retry-After").WithRetryAt(f.clock.Now().Add(ejectionTime)).WithCause(lastErr)
 }
 
-func (f *Forwarder) send(ctx context.Context, call turmericwall.ServiceCall, vm turmericwall.VM, connection net.Conn) (*http.Response, error) {
+func (f *Forwarder) send(
+	ctx context.Context, call turmericwall.ServiceCall, vm turmericwall.VM, connection net.Conn,
+) (*http.Response, error) {
 	transport := &http.Transport{
 		DisableKeepAlives: true,
-		DialContext:       useOnce(connection),
+		DialContext:       dialOnce(connection),
 	}
 	target := "http://" + vm.Address + call.Path
 	if call.Query != "" {
@@ -121,42 +133,43 @@
 	return transport.RoundTrip(request)
 }
 
-var errUsed = errors.New("the call's only connection was used")
+var errConnectionUsed = errors.New("the call's only connection was already used")
 
-// useOnce gives the connection to the first dial and fails any other: whatever the transport does, the
-// call goes out once.
-func useOnce(connection net.Conn) func(context.Context, string, string) (net.Conn, error) {
+// dialOnce returns a dial function that returns the connection to the first dial and fails any other, so that the
+// transport can't send the call a second time.
+func dialOnce(connection net.Conn) func(context.Context, string, string) (net.Conn, error) {
 	var once sync.Once
 	return func(context.Context, string, string) (net.Conn, error) {
-		var given net.Conn
-		once.Do(func() { given = connection })
-		if given == nil {
-			return nil, errUsed
+		var unused net.Conn
+		once.Do(func() { unused = connection })
+		if unused == nil {
+			return nil, errConnectionUsed
 		}
-		return given, nil
+		return unused, nil
 	}
 }
 
-// choose takes the live upstreams in turn, and logs the choice.
-func (f *Forwarder) choose(service string) (turmericwall.VM, bool) {
-	live := f.live(service)
-	if len(live) == 0 {
+// chooseUpstream returns the next of the available upstreams, in round-robin order, and logs the choice.
+func (f *Forwarder) chooseUpstream(service string) (turmericwall.VM, bool) {
+	available := f.availableUpstreams(service)
+	if len(available) == 0 {
 		return turmericwall.VM{}, false
 	}
 	f.mu.Lock()
-	f.turn++
-	vm := live[f.turn%len(live)]
+	f.next++
+	vm := available[f.next%len(available)]
 	f.mu.Unlock()
 	f.recorder.Record(turmericwall.EventServiceRouted).Str("service", service).Str("upstream", vm.Name).
-		Int("considered", int64(len(live))).Str("reason", "next in turn").Send()
+		Int("considered", int64(len(available))).Str("reason", "next in turn").Send()
 	return vm, true
 }
 
-func (f *Forwarder) live(service string) []turmericwall.VM {
+// availableUpstreams returns the live upstreams that are not ejected, or the ejected ones when there is no other.
+func (f *Forwarder) availableUpstreams(service string) []turmericwall.VM {
 	now := f.clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var live, ejected []turmericwall.VM
+	var available, ejected []turmericwall.VM
 	for _, vm := range f.fleet.Upstreams(service) {
 		if vm.State != turmericwall.VMLive {
 			continue
@@ -165,15 +178,15 @@
 			ejected = append(ejected, vm)
 			continue
 		}
-		live = append(live, vm)
+		available = append(available, vm)
 	}
-	if len(live) == 0 {
+	if len(available) == 0 {
 		return ejected
 	}
-	return live
+	return available
 }
 
-// eject leaves an upstream alone until a time, unless no other one is left.
+// eject keeps the upstream from being chosen until the given time, unless the service has no other.
 func (f *Forwarder) eject(name string, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/once/twforward/forwarder_test.go
+++ b/internal/once/twforward/forwarder_test.go
@@ -18,7 +18,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
 )
 
-// fleet lists the upstreams of one service.
+// fleet implements Upstreams of turmericwall.Fleet with the upstreams of one service.
 type fleet struct {
 	turmericwall.Fleet
 	vms []turmericwall.VM
@@ -26,10 +26,10 @@
 
 func (f fleet) Upstreams(string) []turmericwall.VM { return f.vms }
 
-// Guards against calls to an upstream that said for how long it wants none.
+// Guards against calls to an upstream that asked to back off with a Retry-After, before that time has elapsed.
 func TestAnUpstreamThatAsksToBackOffIsLeftAlone(t *testing.T) {
 	g := NewWithT(t)
-	var busy atomic.Int64
+	var overloadedCalls atomic.Int64
 	serve := func(handler http.HandlerFunc) turmericwall.VM {
 		server := httptest.NewServer(handler)
 		t.Cleanup(server.Close)
@@ -38,26 +38,31 @@
 	}
 	f := fleet{vms: []turmericwall.VM{
 		serve(func(w http.ResponseWriter, _ *http.Request) {
-			busy.Add(1)
+			overloadedCalls.Add(1)
 			w.Header().Set("Retry-After", "30")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}),
 		serve(func(http.ResponseWriter, *http.Request) {}),
 	}}
 	clock := clockwork.NewFakeClock()
-	forwarder := twforward.New(twforward.Config{Fleet: f, Clock: clock, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard})})
-	calls := func(n int) int64 {
-		before := busy.Load()
+	forwarder := twforward.New(twforward.Config{
+		Fleet: f, Clock: clock, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+	})
+	// forwardAndCount forwards n calls and returns how many of them the overloaded upstream received.
+	forwardAndCount := func(n int) int64 {
+		before := overloadedCalls.Load()
 		for range n {
-			response, err := forwarder.Forward(context.Background(), turmericwall.ServiceCall{Service: "s", Method: http.MethodGet, Path: "/", Header: http.Header{}}, func() error { return nil })
+			response, err := forwarder.Forward(context.Background(), turmericwall.ServiceCall{
+				Service: "s", Method: http.MethodGet, Path: "/", Header: http.Header{},
+			}, func() error { return nil })
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(response.Body.Close()).To(Succeed())
 		}
-		return busy.Load() - before
+		return overloadedCalls.Load() - before
 	}
-	g.Expect(calls(8)).To(Equal(int64(1)))
+	g.Expect(forwardAndCount(8)).To(Equal(int64(1)))
 	clock.Advance(29 * time.Second)
-	g.Expect(calls(8)).To(BeZero())
+	g.Expect(forwardAndCount(8)).To(BeZero())
 	clock.Advance(2 * time.Second)
-	g.Expect(calls(8)).To(Equal(int64(1)))
+	g.Expect(forwardAndCount(8)).To(Equal(int64(1)))
 }
