--- a/internal/ledger/twledger/ledger.go
+++ b/internal/ledger/twledger/ledger.go
@@ -1,4 +1,6 @@
-// Package twledger keeps deferrable requests until they are answered.
+// Package twledger stores deferrable requests in the platform's table until they are answered. The edge submits such a
+// request, and fetches its answer later; any daemon may acquire its lease, run it through prefill and decode, and write
+// the answer.
 package twledger
 
 import (
@@ -16,37 +18,42 @@
 )
 
 const (
-	// submitTimeout bounds the wait for an entry's rows.
+	// submitTimeout bounds the wait until an entry's rows are stored.
 	submitTimeout = 5 * time.Second
-	// inlineBytes is the longest prompt that stands in the row itself.
-	inlineBytes = 16 << 10
-	// lifetime is how long an answer can be fetched.
-	lifetime = 7 * 24 * time.Hour
-	retryAt  = 5 * time.Second
-	// maxRunning bounds the entries that one daemon works on at a time.
+	// maxInlinePromptBytes is the longest prompt that is stored in the entry's row; longer ones become objects.
+	maxInlinePromptBytes = 16 << 10
+	// entryLifetime is how long an entry is kept after it was accepted, once it has ended.
+	entryLifetime = 7 * 24 * time.Hour
+	// overLimitRetryDelay is the Retry-After for an account with too many open entries.
+	overLimitRetryDelay = 5 * time.Second
+	// maxRunning bounds the entries that one daemon processes at a time.
 	maxRunning = 32
 )
 
-// Ledger accepts deferrable requests, works on them, and answers for them.
+// Ledger accepts deferrable requests, processes them and returns their answers.
 //
-// An accepted request must not go missing, whichever VMs are replaced, and must be answered once. It is
-// durable before it is accepted. Any daemon may take its lease over when the owner counts as lost; the
-// lease row's version keeps a former owner that wakes up from writing a second answer.
+// An accepted request must not be lost, whichever VMs are replaced, and must be answered once. It is durable before it
+// is accepted. Any daemon may take over its lease when the owner is no longer live; the version of the lease's row
+// prevents a former owner that resumes from writing a second answer.
 type Ledger struct {
 	config  Config
 	clearer *twclear.Clearer
-	starts  chan leased
+	// acquired holds leases whose entries Run starts to process.
+	acquired chan heldLease
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// running holds the entries that this daemon processes, each with the function that ends its processing.
 	running  map[string]context.CancelFunc
 	draining bool
-	open     map[string]int
-	owned    int
-	observed map[string]observation
+	// openByAccount counts the open entries of each account in this daemon's ownedPartitions, as of the last scan.
+	openByAccount   map[string]int
+	ownedPartitions int
+	observations    map[string]observation
 }
 
-// Config names what the ledger works with.
+// Config holds the dependencies of a Ledger.
 type Config struct {
+	// Incarnation names this start of the daemon; it is written as the owner of its leases.
 	Incarnation string
 	Table       turmericwall.Table
 	Writer      turmericwall.Writer
@@ -58,20 +65,20 @@
 	Recorder    turmericwall.Recorder
 }
 
-// leased is an entry whose lease this daemon holds.
-type leased struct {
+// heldLease is the lease of an entry as this daemon last wrote it.
+type heldLease struct {
 	lease   twentry.Lease
 	version int64
 }
 
-// New returns a ledger; it works on entries while Run runs.
+// New returns a Ledger. Entries are processed only while Run runs.
 func New(config Config) *Ledger {
 	l := &Ledger{
-		config:   config,
-		starts:   make(chan leased, maxRunning),
-		running:  make(map[string]context.CancelFunc),
-		open:     make(map[string]int),
-		observed: make(map[string]observation),
+		config:        config,
+		acquired:      make(chan heldLease, maxRunning),
+		running:       make(map[string]context.CancelFunc),
+		openByAccount: make(map[string]int),
+		observations:  make(map[string]observation),
 	}
 	l.clearer = twclear.New(twclear.Config{
 		Table: config.Table, Writer: config.Writer, Clock: config.Clock, Prefixes: entryPrefixes(), Expired: expired,
@@ -79,48 +86,52 @@
 	return l
 }
 
-// Submit makes the entry durable; the same entry again is no error. It returns a problem of kind
-// KindKeyReused for another entry under the same name.
+// Submit stores the entry durably; submitting the same entry again is no error. It returns a *turmericwall.Problem of
+// kind KindKeyReused for another entry under the same ID, KindOverLimit when the account has too many open entries, and
+// KindStoreUnavailable when the entry was not accepted.
 func (l *Ledger) Submit(ctx context.Context, entry twentry.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	if l.overLimit(entry.Account) {
-		return turmericwall.NewProblem(turmericwall.KindOverLimit, "the account has too many requests without an answer",
-			"come back when some are answered").WithRetryAt(l.config.Clock.Now().Add(retryAt))
+		return turmericwall.NewProblem(turmericwall.KindOverLimit,
+			"the account has too many requests without an answer", "retry when some of them are answered").
+			WithRetryAt(l.config.Clock.Now().Add(overLimitRetryDelay))
 	}
 	entry.State, entry.At = twentry.StateOpen, l.config.Clock.Now().UTC()
 	if err := l.storePrompt(ctx, &entry); err != nil {
 		return notAccepted(err)
 	}
 	lease := twentry.Lease{ID: entry.ID, Account: entry.Account}
-	if l.reserve(entry.ID) {
+	if l.reserveSlot(entry.ID) {
 		lease.Owner = l.config.Incarnation
 	}
-	err := l.writeNew(ctx, entry, lease)
+	err := l.createEntry(ctx, entry, lease)
 	switch {
 	case turmericwall.IsConflict(err):
-		l.unreserve(lease)
-		return l.sameEntry(ctx, entry)
+		l.releaseSlot(lease)
+		return l.checkSameEntry(ctx, entry)
 	case err != nil:
-		l.unreserve(lease)
+		l.releaseSlot(lease)
 		return notAccepted(err)
 	}
-	l.config.Recorder.Record(turmericwall.EventDeferrableAccepted).Str("request", entry.ID).Str("account", entry.Account).Send()
+	l.config.Recorder.Record(turmericwall.EventDeferrableAccepted).
+		Str("request", entry.ID).Str("account", entry.Account).Send()
 	if lease.Owner != "" {
-		l.starts <- leased{lease: lease, version: 1}
+		l.acquired <- heldLease{lease: lease, version: 1}
 	}
 	return nil
 }
 
-// Fetch returns the entry, with its answer once it ended.
+// Fetch returns the entry, with its answer once it has ended. An unknown ID gives a problem of kind KindNotFound.
 func (l *Ledger) Fetch(ctx context.Context, id string) (twentry.Entry, error) {
-	entry, _, err := l.read(ctx, id)
+	entry, _, err := l.readEntry(ctx, id)
 	return entry, err
 }
 
-// Cancel ends the entry without an answer, unless it ended before.
+// Cancel ends the entry without an answer; an entry that has ended stays as it is. It returns a problem of kind
+// KindConflict when the entry ended or its lease changed its owner meanwhile.
 func (l *Ledger) Cancel(ctx context.Context, id string) error {
-	entry, version, err := l.read(ctx, id)
+	entry, version, err := l.readEntry(ctx, id)
 	if err != nil || entry.State != twentry.StateOpen {
 		return err
 	}
@@ -132,16 +143,18 @@
 		return nil
 	}
 	entry.State, entry.Prompt = twentry.StateCancelled, ""
-	err = l.end(ctx, entry, version, row.Version)
+	err = l.closeEntry(ctx, entry, version, row.Version)
 	if turmericwall.IsConflict(err) {
-		return turmericwall.NewProblem(turmericwall.KindConflict, "the request changed hands meanwhile", "cancel it again")
+		return turmericwall.NewProblem(turmericwall.KindConflict,
+			"the request was answered or changed its owner meanwhile", "cancel it again")
 	}
-	l.stop(id)
+	l.cancelRunning(id)
 	return err
 }
 
+// storePrompt moves a prompt that is too long for the entry's row to an object.
 func (l *Ledger) storePrompt(ctx context.Context, entry *twentry.Entry) error {
-	if len(entry.Prompt) <= inlineBytes {
+	if len(entry.Prompt) <= maxInlinePromptBytes {
 		return nil
 	}
 	name := "prompts/" + entry.ID + "-" + entry.BodyHash
@@ -152,7 +165,8 @@
 	return nil
 }
 
-func (l *Ledger) writeNew(ctx context.Context, entry twentry.Entry, lease twentry.Lease) error {
+// createEntry writes the entry and its lease in one transaction, on the condition that neither row exists.
+func (l *Ledger) createEntry(ctx context.Context, entry twentry.Entry, lease twentry.Lease) error {
 	entryValue, err := json.Marshal(entry)
 	if err != nil {
 		return fmt.Errorf("encode an entry: %w", err)
@@ -166,20 +180,20 @@
 		turmericwall.Write{Key: twentry.LeaseKey(entry.ID), Value: leaseValue})
 }
 
-// sameEntry tells a repeated submission from another one under the same key.
-func (l *Ledger) sameEntry(ctx context.Context, entry twentry.Entry) error {
-	known, _, err := l.read(ctx, entry.ID)
+// checkSameEntry returns a problem of kind KindKeyReused unless the stored entry is the submitted one.
+func (l *Ledger) checkSameEntry(ctx context.Context, entry twentry.Entry) error {
+	stored, _, err := l.readEntry(ctx, entry.ID)
 	if err != nil {
 		return err
 	}
-	if known.BodyHash != entry.BodyHash {
+	if stored.BodyHash != entry.BodyHash {
 		return turmericwall.NewProblem(turmericwall.KindKeyReused, "the key was used for another request",
 			"use a new Idempotency-Key for each request")
 	}
 	return nil
 }
 
-func (l *Ledger) read(ctx context.Context, id string) (twentry.Entry, int64, error) {
+func (l *Ledger) readEntry(ctx context.Context, id string) (twentry.Entry, int64, error) {
 	row, ok, err := l.config.Table.Get(ctx, twentry.EntryKey(id))
 	if err != nil {
 		return twentry.Entry{}, 0, err
@@ -190,13 +204,14 @@
 	}
 	var entry twentry.Entry
 	if err := json.Unmarshal(row.Value, &entry); err != nil {
-		return twentry.Entry{}, 0, fmt.Errorf("decode entry %s, restore its row from the platform's backup: %w", id, err)
+		return twentry.Entry{}, 0,
+			fmt.Errorf("decode entry %s, restore its row from the platform's backup: %w", id, err)
 	}
 	return entry, row.Version, nil
 }
 
-// end writes the ended entry and takes its lease away, in one transaction.
-func (l *Ledger) end(ctx context.Context, entry twentry.Entry, version, leaseVersion int64) error {
+// closeEntry writes the ended entry and deletes its lease, in one transaction.
+func (l *Ledger) closeEntry(ctx context.Context, entry twentry.Entry, version, leaseVersion int64) error {
 	value, err := json.Marshal(entry)
 	if err != nil {
 		return fmt.Errorf("encode an entry: %w", err)
@@ -220,10 +235,11 @@
 	return prefixes
 }
 
+// expired reports whether the entry in a row's value has ended and is past its lifetime.
 func expired(value []byte, now time.Time) bool {
 	var entry twentry.Entry
 	if err := json.Unmarshal(value, &entry); err != nil {
 		return false
 	}
-	return entry.State != twentry.StateOpen && now.After(entry.At.Add(lifetime))
+	return entry.State != twentry.StateOpen && now.After(entry.At.Add(entryLifetime))
 }
--- a/internal/ledger/twledger/scan.go
+++ b/internal/ledger/twledger/scan.go
@@ -15,35 +15,39 @@
 
 const (
 	scanInterval = 2 * time.Second
-	scanRows     = 200
-	// isolatedWait is how long a lease must stand unchanged before a daemon that may itself be cut off
+	// scanRows is the number of rows that one List call of a scan returns.
+	scanRows = 200
+	// isolatedTakeoverDelay is how long a lease must stay unchanged before a daemon that may itself be partitioned
 	// takes it over.
-	isolatedWait = time.Minute
-	maxObserved  = 1 << 16
+	isolatedTakeoverDelay = time.Minute
+	// maxObservations bounds the observed leases; when it is reached, all observations are discarded.
+	maxObservations = 1 << 16
 )
 
-// observation is when this daemon first saw the lease at its version.
+// observation is a lease version that this daemon saw, with the time from which it may take the lease over.
 type observation struct {
-	version          int64
-	takeoverDeadline time.Time
+	version    int64
+	takeoverAt time.Time
 }
 
-// scan looks through the leases of this daemon's partitions and takes those that nobody works on.
-func (l *Ledger) scan(ctx context.Context) {
+// scanPartitions lists the leases of the partitions that this daemon owns, counts the open entries of each account, and
+// acquires the leases of entries that no daemon processes.
+func (l *Ledger) scanPartitions(ctx context.Context) {
 	counts := make(map[string]int)
-	owned := 0
+	ownedPartitions := 0
 	for p := range twentry.Partitions {
 		if l.partitionOwner(p) != l.config.Incarnation {
 			continue
 		}
-		owned++
+		ownedPartitions++
 		l.scanPartition(ctx, p, counts)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open, l.owned = counts, owned
+	l.openByAccount, l.ownedPartitions = counts, ownedPartitions
 }
 
+// partitionOwner returns the incarnation that scans the partition, by rendezvous hashing over the live daemons.
 func (l *Ledger) partitionOwner(partition int) string {
 	leaders := l.config.Peers.Leaders()
 	if len(leaders) == 0 {
@@ -52,6 +56,7 @@
 	return rendezvous.New(leaders, xxhash.Sum64String).Lookup("ledger/" + strconv.Itoa(partition))
 }
 
+// scanPartition lists the leases of one partition; an error ends it, and the next scan starts over.
 func (l *Ledger) scanPartition(ctx context.Context, partition int, counts map[string]int) {
 	after := ""
 	for {
@@ -60,7 +65,7 @@
 			return
 		}
 		for _, row := range rows {
-			l.consider(ctx, row, counts)
+			l.considerLease(ctx, row, counts)
 		}
 		if len(rows) < scanRows {
 			return
@@ -69,23 +74,24 @@
 	}
 }
 
-func (l *Ledger) consider(ctx context.Context, row turmericwall.Row, counts map[string]int) {
+// considerLease counts the lease for its account and acquires it if this daemon may.
+func (l *Ledger) considerLease(ctx context.Context, row turmericwall.Row, counts map[string]int) {
 	var lease twentry.Lease
 	if json.Unmarshal(row.Value, &lease) != nil {
 		return
 	}
 	counts[lease.Account]++
-	if !l.mayTake(lease, row.Version) || !l.reserve(lease.ID) {
+	if !l.mayAcquire(lease, row.Version) || !l.reserveSlot(lease.ID) {
 		return
 	}
-	if !l.take(ctx, lease, row.Version) {
-		l.unreserve(twentry.Lease{ID: lease.ID, Owner: l.config.Incarnation})
+	if !l.acquireLease(ctx, lease, row.Version) {
+		l.releaseSlot(twentry.Lease{ID: lease.ID, Owner: l.config.Incarnation})
 	}
 }
 
-// mayTake allows a lease that nobody holds, or whose owner counts as lost. Being wrong about that costs
-// work done twice; the answer is still written once.
-func (l *Ledger) mayTake(lease twentry.Lease, version int64) bool {
+// mayAcquire reports whether this daemon may acquire the lease: it has no owner, or its owner is no longer live. If
+// that is wrong, the entry is processed twice; its answer is still written once.
+func (l *Ledger) mayAcquire(lease twentry.Lease, version int64) bool {
 	switch {
 	case lease.Owner == "":
 		return true
@@ -96,42 +102,47 @@
 	case !l.config.Peers.Isolated():
 		return true
 	}
-	return l.stoodStill(lease.ID, version)
+	return l.leaseUnchanged(lease.ID, version)
 }
 
-func (l *Ledger) stoodStill(id string, version int64) bool {
+// leaseUnchanged reports whether the lease has had this version for isolatedTakeoverDelay.
+func (l *Ledger) leaseUnchanged(id string, version int64) bool {
 	now := l.config.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	seen, ok := l.observed[id]
+	seen, ok := l.observations[id]
 	if !ok || seen.version != version {
-		if len(l.observed) >= maxObserved {
-			clear(l.observed)
+		if len(l.observations) >= maxObservations {
+			clear(l.observations)
 		}
-		l.observed[id] = observation{version: version, takeoverDeadline: now.Add(isolatedWait)}
+		l.observations[id] = observation{version: version, takeoverAt: now.Add(isolatedTakeoverDelay)}
 		return false
 	}
-	return now.After(seen.takeoverDeadline)
+	return now.After(seen.takeoverAt)
 }
 
-func (l *Ledger) take(ctx context.Context, lease twentry.Lease, version int64) bool {
-	previous := lease.Owner
+// acquireLease writes this daemon as the owner of the lease and hands it to Run. It returns false when the write fails.
+func (l *Ledger) acquireLease(ctx context.Context, lease twentry.Lease, version int64) bool {
+	previousOwner := lease.Owner
 	lease.Owner = l.config.Incarnation
 	value, err := json.Marshal(lease)
 	if err != nil {
 		return false
 	}
-	err = l.config.Writer.Write(ctx, turmericwall.Write{Key: twentry.LeaseKey(lease.ID), IfVersion: version, Value: value})
+	err = l.config.Writer.Write(ctx,
+		turmericwall.Write{Key: twentry.LeaseKey(lease.ID), IfVersion: version, Value: value})
 	if err != nil {
 		return false
 	}
-	l.config.Recorder.Record(turmericwall.EventDeferrableLeased).Str("request", lease.ID).Str("previousOwner", previous).Send()
-	l.starts <- leased{lease: lease, version: version + 1}
+	l.config.Recorder.Record(turmericwall.EventDeferrableLeased).
+		Str("request", lease.ID).Str("previousOwner", previousOwner).Send()
+	l.acquired <- heldLease{lease: lease, version: version + 1}
 	return true
 }
 
-// reserve claims one of the daemon's places for the entry.
-func (l *Ledger) reserve(id string) bool {
+// reserveSlot reserves one of this daemon's maxRunning slots for the entry. It returns false when the entry already has
+// one, when no slot is free, or while the daemon drains.
+func (l *Ledger) reserveSlot(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.running[id]; ok || l.draining || len(l.running) >= maxRunning {
@@ -141,7 +152,8 @@
 	return true
 }
 
-func (l *Ledger) unreserve(lease twentry.Lease) {
+// releaseSlot releases the slot of the entry; a lease without an owner has none.
+func (l *Ledger) releaseSlot(lease twentry.Lease) {
 	if lease.Owner == "" {
 		return
 	}
@@ -157,7 +169,8 @@
 	return ok
 }
 
-// overLimit estimates the account's open entries from this daemon's partitions.
+// overLimit reports whether the account has reached its limit of open entries. It extrapolates from the partitions that
+// this daemon owns.
 func (l *Ledger) overLimit(account string) bool {
 	document, ok := l.config.Documents.Current()
 	if !ok {
@@ -165,10 +178,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.owned == 0 {
+	if l.ownedPartitions == 0 {
 		return false
 	}
-	estimate := l.open[account] * twentry.Partitions / l.owned
+	estimate := l.openByAccount[account] * twentry.Partitions / l.ownedPartitions
 	for _, a := range document.Accounts() {
 		if a.Name == account {
 			return estimate >= a.OpenDeferrable
--- a/internal/ledger/twledger/work.go
+++ b/internal/ledger/twledger/work.go
@@ -13,24 +13,27 @@
 )
 
 const (
-	// watchInterval is how often a daemon looks whether an entry it works on is still its own.
-	watchInterval  = 5 * time.Second
-	releaseTimeout = 2 * time.Second
-	endTimeout     = time.Minute
-	endAgain       = time.Second
-	failedPause    = time.Second
+	// leaseCheckInterval is how often a daemon checks that it still owns the lease of an entry it processes.
+	leaseCheckInterval = 5 * time.Second
+	releaseTimeout     = 2 * time.Second
+	// closeTimeout bounds the retries of writing an answer.
+	closeTimeout       = time.Minute
+	closeRetryInterval = time.Second
+	// failurePause is the wait before the lease of an entry that could not be processed is released.
+	failurePause = time.Second
 )
 
-// Run works on entries until ctx ends; leases still held are then given back.
+// Run processes entries, scans for leases to acquire and deletes expired entries until ctx ends. The leases of
+// entries that are processed then are released.
 func (l *Ledger) Run(ctx context.Context) error {
 	ticker := l.config.Clock.NewTicker(scanInterval)
 	defer ticker.Stop()
 	ends := make(chan struct{})
 	running := 0
-	start := func(work func()) {
+	start := func(task func()) {
 		running++
 		go func() {
-			work()
+			task()
 			ends <- struct{}{}
 		}()
 	}
@@ -46,8 +49,8 @@
 			return nil
 		case <-ends:
 			running--
-		case held := <-l.starts:
-			start(func() { l.work(ctx, held) })
+		case held := <-l.acquired:
+			start(func() { l.processEntry(ctx, held) })
 		case <-scanned:
 			scanning = false
 		case <-ticker.Chan():
@@ -56,109 +59,113 @@
 			}
 			scanning = true
 			start(func() {
-				l.scan(ctx)
+				l.scanPartitions(ctx)
 				scanned <- struct{}{}
 			})
 		}
 	}
 }
 
-// Drain takes no further entries; those under way go on.
+// Drain stops this daemon from acquiring further leases; the entries that it processes continue.
 func (l *Ledger) Drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
 }
 
-// Running counts the entries that this daemon works on.
+// Running returns the number of entries that this daemon processes.
 func (l *Ledger) Running() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.running)
 }
 
-// work delivers one entry and writes its answer.
-func (l *Ledger) work(ctx context.Context, held leased) {
+// processEntry delivers one entry and writes its answer.
+func (l *Ledger) processEntry(ctx context.Context, held heldLease) {
 	id := held.lease.ID
-	defer l.unreserve(held.lease)
-	work, cancel := context.WithCancel(ctx)
+	defer l.releaseSlot(held.lease)
+	entryCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.mu.Lock()
 	l.running[id] = cancel
 	l.mu.Unlock()
 	watched := make(chan struct{})
 	go func() {
-		l.watch(work, cancel, held)
+		l.watchLease(entryCtx, cancel, held)
 		close(watched)
 	}()
-	l.deliver(work, held)
+	l.deliverEntry(entryCtx, held)
 	cancel()
 	<-watched
 }
 
-func (l *Ledger) deliver(ctx context.Context, held leased) {
-	entry, version, err := l.read(ctx, held.lease.ID)
+// deliverEntry runs the entry through its engines and records the answer. A failure that another attempt may avoid
+// releases the lease instead.
+func (l *Ledger) deliverEntry(ctx context.Context, held heldLease) {
+	entry, version, err := l.readEntry(ctx, held.lease.ID)
 	if err != nil || entry.State != twentry.StateOpen {
-		l.release(held)
+		l.releaseLease(held)
 		return
 	}
-	request, err := l.request(ctx, entry)
+	request, err := l.buildRequest(ctx, entry)
 	if err != nil {
-		l.pause(ctx)
-		l.release(held)
+		l.waitAfterFailure(ctx)
+		l.releaseLease(held)
 		return
 	}
 	var answer collector
 	usage, err := l.config.Deliverer.Deliver(ctx, request, &answer)
-	if err != nil && !terminal(err) {
-		l.pause(ctx)
-		l.release(held)
+	if err != nil && !isTerminal(err) {
+		l.waitAfterFailure(ctx)
+		l.releaseLease(held)
 		return
 	}
-	finished := entry
-	finished.Prompt = ""
-	finished.State, finished.Text, finished.Usage = twentry.StateDone, answer.String(), usage
+	ended := entry
+	ended.Prompt = ""
+	ended.State, ended.Text, ended.Usage = twentry.StateDone, answer.String(), usage
 	if err != nil {
-		finished.State, finished.Fault = twentry.StateFailed, err.Error()
+		ended.State, ended.Fault = twentry.StateFailed, err.Error()
 	}
-	l.finish(finished, version, held)
+	l.recordAnswer(ended, version, held)
 }
 
-// finish writes the answer once; a conflict means that the lease was taken over or the entry cancelled,
-// and this answer is dropped.
-func (l *Ledger) finish(entry twentry.Entry, version int64, held leased) {
-	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+// recordAnswer retries the write of the ended entry until it succeeds. A conflict means that the lease was taken over
+// or the entry cancelled; this answer is then dropped.
+func (l *Ledger) recordAnswer(entry twentry.Entry, version int64, held heldLease) {
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		err := l.end(ctx, entry, version, held.version)
+		err := l.closeEntry(ctx, entry, version, held.version)
 		if err == nil {
-			l.config.Recorder.Record(turmericwall.EventDeferrableAnswered).Str("request", entry.ID).Str("state", string(entry.State)).Send()
+			l.config.Recorder.Record(turmericwall.EventDeferrableAnswered).
+				Str("request", entry.ID).Str("state", string(entry.State)).Send()
 			return
 		}
 		if turmericwall.IsConflict(err) {
 			l.config.Recorder.Record(turmericwall.EventDeferrableLost).Str("request", entry.ID).Send()
 			return
 		}
-		l.config.Clock.Sleep(endAgain)
+		l.config.Clock.Sleep(closeRetryInterval)
 	}
 }
 
-// release gives the lease back, for any daemon to take.
-func (l *Ledger) release(held leased) {
+// releaseLease removes the owner from the lease, so that any daemon can acquire it.
+func (l *Ledger) releaseLease(held heldLease) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	free := held.lease
-	free.Owner = ""
-	value, err := json.Marshal(free)
+	released := held.lease
+	released.Owner = ""
+	value, err := json.Marshal(released)
 	if err != nil {
 		return
 	}
-	_ = l.config.Writer.Write(ctx, turmericwall.Write{Key: twentry.LeaseKey(free.ID), IfVersion: held.version, Value: value})
+	_ = l.config.Writer.Write(ctx,
+		turmericwall.Write{Key: twentry.LeaseKey(released.ID), IfVersion: held.version, Value: value})
 }
 
-// watch ends the work on an entry that was cancelled, or taken over by another daemon.
-func (l *Ledger) watch(ctx context.Context, cancel context.CancelFunc, held leased) {
-	ticker := l.config.Clock.NewTicker(watchInterval)
+// watchLease cancels the processing of an entry that was cancelled, or taken over by another daemon.
+func (l *Ledger) watchLease(ctx context.Context, cancel context.CancelFunc, held heldLease) {
+	ticker := l.config.Clock.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -174,8 +181,8 @@
 	}
 }
 
-// stop ends this daemon's own work on the entry, if it does any.
-func (l *Ledger) stop(id string) {
+// cancelRunning cancels the processing of the entry if this daemon processes it.
+func (l *Ledger) cancelRunning(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if cancel, ok := l.running[id]; ok {
@@ -183,27 +190,30 @@
 	}
 }
 
-func (l *Ledger) request(ctx context.Context, entry twentry.Entry) (turmericwall.Request, error) {
+// buildRequest returns the request of the entry by the configuration in force.
+func (l *Ledger) buildRequest(ctx context.Context, entry twentry.Entry) (turmericwall.Request, error) {
 	document, ok := l.config.Documents.Current()
 	if !ok {
-		return turmericwall.Request{}, fmt.Errorf("work on entry %s: no configuration is known yet", entry.ID)
+		return turmericwall.Request{}, fmt.Errorf("process entry %s: no configuration is in force yet", entry.ID)
 	}
 	work, ok := document.Work(entry.Work)
 	if !ok {
-		return turmericwall.Request{}, fmt.Errorf("work on entry %s: declare its kind of work %q again", entry.ID, entry.Work)
+		return turmericwall.Request{},
+			fmt.Errorf("process entry %s: its kind of work %q is not declared, declare it again", entry.ID, entry.Work)
 	}
 	service, ok := document.ServiceOfModel(entry.Model)
 	if !ok {
-		return turmericwall.Request{}, fmt.Errorf("work on entry %s: declare its model %q again", entry.ID, entry.Model)
+		return turmericwall.Request{},
+			fmt.Errorf("process entry %s: no service has its model %q, declare the model again", entry.ID, entry.Model)
 	}
-	prompt, err := l.prompt(ctx, entry)
+	prompt, err := l.loadPrompt(ctx, entry)
 	return turmericwall.Request{
 		ID: entry.ID, Account: entry.Account, Work: *work, Model: entry.Model, Service: service.Name,
 		Prompt: prompt, MaxTokens: entry.MaxTokens,
 	}, err
 }
 
-func (l *Ledger) prompt(ctx context.Context, entry twentry.Entry) (string, error) {
+func (l *Ledger) loadPrompt(ctx context.Context, entry twentry.Entry) (string, error) {
 	if entry.PromptObject == "" {
 		return entry.Prompt, nil
 	}
@@ -214,8 +224,8 @@
 	return string(content), err
 }
 
-func (l *Ledger) pause(ctx context.Context) {
-	timer := l.config.Clock.NewTimer(failedPause)
+func (l *Ledger) waitAfterFailure(ctx context.Context) {
+	timer := l.config.Clock.NewTimer(failurePause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -223,17 +233,17 @@
 	}
 }
 
-// terminal tells an answer that would be the same at every try.
-func terminal(err error) bool {
+// isTerminal reports whether every further attempt would fail in the same way.
+func isTerminal(err error) bool {
 	var engine *turmericwall.EngineError
 	refused := errors.As(err, &engine) && engine.Reason() == turmericwall.EngineRefused
 	return refused || turmericwall.IsKind(err, turmericwall.KindTooLarge)
 }
 
-// collector gathers a whole answer.
+// collector implements turmericwall.Sink; it collects the complete text of an answer.
 type collector struct{ strings.Builder }
 
-// Token appends one token's text.
+// Token appends the text of one token.
 func (c *collector) Token(text string) error {
 	_, err := c.WriteString(text)
 	return err
