--- a/internal/ledger/twentry/entry.go
+++ b/internal/ledger/twentry/entry.go
@@ -1,4 +1,6 @@
-// Package twentry is a deferrable request as the platform's table keeps it.
+// Package twentry defines the rows in which the platform's table stores a deferrable request: the entry with the
+// request and its answer, and the lease by which one daemon at a time processes it. The edge creates entries; twledger
+// stores and processes them.
 package twentry
 
 import (
@@ -11,10 +13,10 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Partitions spread the open entries over the daemons.
+// Partitions is the number of partitions by which open entries are distributed over the daemons.
 const Partitions = 64
 
-// State is how far a deferrable request got.
+// State is the state of a deferrable request.
 type State string
 
 // The states of a deferrable request.
@@ -33,33 +35,36 @@
 	Model    string `json:"model"`
 	Chat     bool   `json:"chat,omitempty"`
 	BodyHash string `json:"bodyHash"`
-	// Prompt is the text itself, or PromptObject names the object that holds it.
-	Prompt       string             `json:"prompt,omitempty"`
-	PromptObject string             `json:"promptObject,omitempty"`
-	MaxTokens    int                `json:"maxTokens"`
-	At           time.Time          `json:"at"`
-	State        State              `json:"state"`
-	Text         string             `json:"text,omitempty"`
-	Fault        string             `json:"fault,omitempty"`
-	Usage        turmericwall.Usage `json:"usage,omitzero"`
+	// Prompt is the text of the prompt; a longer one is stored in the object that PromptObject names.
+	Prompt       string `json:"prompt,omitempty"`
+	PromptObject string `json:"promptObject,omitempty"`
+	MaxTokens    int    `json:"maxTokens"`
+	// At is when the request was submitted.
+	At    time.Time `json:"at"`
+	State State     `json:"state"`
+	// Text is the complete answer of a request that is done.
+	Text string `json:"text,omitempty"`
+	// Fault is the error of a request that failed.
+	Fault string             `json:"fault,omitempty"`
+	Usage turmericwall.Usage `json:"usage,omitzero"`
 }
 
-// Lease is the small row that stands for an open entry. Its version is the fencing number: only who
-// wrote it last can end the entry.
+// Lease is the row of an open entry that names the daemon processing it. The row's version is the fencing token: only
+// the daemon that wrote it last can end the entry.
 type Lease struct {
 	ID      string `json:"id"`
 	Account string `json:"account"`
-	// Owner is the incarnation that works on the entry; empty when none does.
+	// Owner is the incarnation that processes the entry; empty when none does.
 	Owner string `json:"owner,omitempty"`
 }
 
-// NewID names an entry; the same account and key always give the same entry.
+// NewID derives the ID of an entry from its account and idempotency key; the same pair always gives the same ID.
 func NewID(account, key string) string {
 	sum := sha256.Sum256([]byte(strconv.Itoa(len(account)) + ":" + account + key))
 	return hex.EncodeToString(sum[:16])
 }
 
-// Partition returns the entry's partition, and false for what is no entry's name.
+// Partition returns the partition of the entry, and false when id is not a valid entry ID.
 func Partition(id string) (int, bool) {
 	raw, err := hex.DecodeString(id)
 	if err != nil || len(raw) != 16 {
@@ -68,20 +73,20 @@
 	return int(raw[0]) % Partitions, true
 }
 
-// EntryKey is the key of the entry's row.
+// EntryKey returns the key of the entry's row.
 func EntryKey(id string) string {
 	p, _ := Partition(id)
 	return EntryPrefix(p) + id
 }
 
-// LeaseKey is the key of the lease's row.
+// LeaseKey returns the key of the lease's row.
 func LeaseKey(id string) string {
 	p, _ := Partition(id)
 	return LeasePrefix(p) + id
 }
 
-// EntryPrefix starts the keys of the partition's entries.
+// EntryPrefix returns the key prefix of the partition's entries.
 func EntryPrefix(partition int) string { return fmt.Sprintf("ledger/entries/%02d/", partition) }
 
-// LeasePrefix starts the keys of the partition's leases.
+// LeasePrefix returns the key prefix of the partition's leases.
 func LeasePrefix(partition int) string { return fmt.Sprintf("ledger/leases/%02d/", partition) }
