--- a/internal/routing/twroutes/table.go
+++ b/internal/routing/twroutes/table.go
@@ -1,4 +1,6 @@
-// Package twroutes selects the route and service of a call from the operator's plan.
+// Package twroutes holds the operator's route plan and answers look-ups in it: the route of a host and path, the
+// service of a call, and the client account of a key. The authenticator and the relay query it for each call; the plan
+// feed applies new plans.
 package twroutes
 
 import (
@@ -12,26 +14,29 @@
 	"github.com/turmericwall/turmericwall/internal/admission/twkeyindex"
 )
 
-// Table holds the newest plan of routes. The zero value knows no plan.
+// Table holds the route plan in force. The zero value is ready for use and has no plan. Its methods may be called by
+// several goroutines.
 type Table struct {
 	current atomic.Pointer[index]
 }
 
+// index is a route plan with its look-up tables.
 type index struct {
-	plan     *turmericwall.RoutePlan
+	plan *turmericwall.RoutePlan
+	// hosts holds the routes of each host, the longest prefix first.
 	hosts    map[string][]turmericwall.Route
 	services map[string]turmericwall.ServicePlan
 	keys     *twkeyindex.Index
 	accounts map[string]turmericwall.ClientAccount
 }
 
-// New returns a table that knows no plan yet.
+// New returns a Table without a plan.
 func New() *Table { return &Table{} }
 
-// Apply takes a plan in force and tells whether it was newer than the one before.
+// Apply puts the plan in force and reports whether its version is higher than that of the plan in force before.
 //
-// A slow reader or a peer may bring an old plan after a newer one: taking it would send calls to a
-// service that the operator already moved away. Only a higher version is taken, so nothing goes back.
+// A slow reader or a peer may deliver an old plan after a newer one: applying it would send calls to a service from
+// which the operator has already moved them. A plan whose version is not higher is therefore ignored.
 func (t *Table) Apply(plan *turmericwall.RoutePlan) bool {
 	next := newIndex(plan)
 	for {
@@ -45,7 +50,7 @@
 	}
 }
 
-// Plan returns the plan in force; ok is false while none is known.
+// Plan returns the plan in force; ok is false while there is none.
 func (t *Table) Plan() (plan *turmericwall.RoutePlan, ok bool) {
 	current := t.current.Load()
 	if current == nil {
@@ -54,7 +59,7 @@
 	return current.plan, true
 }
 
-// Service returns what the plan in force says of a service.
+// Service returns the settings of the service in the plan in force.
 func (t *Table) Service(name string) (turmericwall.ServicePlan, bool) {
 	current := t.current.Load()
 	if current == nil {
@@ -64,7 +69,8 @@
 	return plan, ok
 }
 
-// Match returns the route with the longest prefix of the path at the host.
+// Match returns the host's route whose prefix is the longest that the path starts with. The host may have a port, and
+// its case does not matter.
 func (t *Table) Match(host, path string) (turmericwall.Route, bool) {
 	current := t.current.Load()
 	if current == nil {
@@ -78,7 +84,7 @@
 	return turmericwall.Route{}, false
 }
 
-// AccountOfKey returns the client account that holds the key by the plan in force.
+// AccountOfKey returns the client account that has the key in the plan in force.
 func (t *Table) AccountOfKey(key string) (turmericwall.ClientAccount, bool) {
 	current := t.current.Load()
 	if current == nil {
@@ -91,7 +97,7 @@
 	return current.plan.Accounts[owner], true
 }
 
-// Account returns the client account of the name by the plan in force.
+// Account returns the client account with the name in the plan in force.
 func (t *Table) Account(name string) (turmericwall.ClientAccount, bool) {
 	current := t.current.Load()
 	if current == nil {
@@ -101,19 +107,20 @@
 	return account, ok
 }
 
-// Pick shares a route's calls among its services by weight; one call id always gives the same service.
+// Pick distributes a route's calls over its services by weight and returns the name of the service for the call ID. The
+// same ID always gives the same service. It returns "" when no service has a weight above 0.
 func Pick(route turmericwall.Route, id string) string {
-	sum := 0
+	totalWeight := 0
 	for _, s := range route.Services {
-		sum += max(s.Weight, 0)
+		totalWeight += max(s.Weight, 0)
 	}
-	if sum == 0 {
+	if totalWeight == 0 {
 		return ""
 	}
-	at := int(xxhash.Sum64String(id) % uint64(sum))
+	remaining := int(xxhash.Sum64String(id) % uint64(totalWeight))
 	for _, s := range route.Services {
-		at -= max(s.Weight, 0)
-		if at < 0 {
+		remaining -= max(s.Weight, 0)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -146,10 +153,12 @@
 	return ix
 }
 
+// hostName returns the host in lower case and without its port; a colon inside the brackets of an IPv6 address starts
+// no port.
 func hostName(host string) string {
 	host = strings.ToLower(host)
-	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.Contains(host[at:], "]") {
-		return host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.Contains(host[colon:], "]") {
+		return host[:colon]
 	}
 	return host
 }
--- a/internal/routing/twroutes/table_test.go
+++ b/internal/routing/twroutes/table_test.go
@@ -17,9 +17,10 @@
 	return turmericwall.Route{Name: name, Host: host, Prefix: prefix}
 }
 
-func TestMatch(t *testing.T) {
+func TestMatchReturnsRouteWithLongestPrefix(t *testing.T) {
 	table := twroutes.New()
-	table.Apply(plan(1, route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/x/")))
+	table.Apply(plan(1,
+		route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/x/")))
 	cases := []struct{ name, host, path, want string }{
 		{"longest prefix", "a.example", "/x/y/z", "long"},
 		{"shorter prefix", "a.example", "/x/z", "short"},
@@ -38,13 +39,13 @@
 	}
 }
 
-// The operator moves a route to a new service. A slow reader then brings the plan from before. A caller must go on
-// reaching the new service, because the old one may be gone.
+// Guards against calls that go back to an old service. The operator moves a route to a new service, and a slow reader
+// then delivers the earlier plan. Calls must still reach the new service, because the old one may be removed.
 func TestAnOlderPlanNeverComesBack(t *testing.T) {
 	g := NewWithT(t)
 	table := twroutes.New()
-	_, known := table.Plan()
-	g.Expect(known).To(BeFalse())
+	_, found := table.Plan()
+	g.Expect(found).To(BeFalse())
 	g.Expect(table.Apply(plan(7, route("new", "a.example", "/x/")))).To(BeTrue())
 	g.Expect(table.Apply(plan(3, route("old", "a.example", "/x/")))).To(BeFalse())
 	g.Expect(table.Apply(plan(7, route("same", "a.example", "/x/")))).To(BeFalse())
@@ -52,14 +53,16 @@
 	g.Expect(got.Name).To(Equal("new"))
 }
 
-func TestPickSharesByWeight(t *testing.T) {
+func TestPickDistributesCallsByWeight(t *testing.T) {
 	g := NewWithT(t)
-	shared := turmericwall.Route{Services: []turmericwall.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
+	weighted := turmericwall.Route{Services: []turmericwall.WeightedService{
+		{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"},
+	}}
 	counts := make(map[string]int)
 	for i := range 2000 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
-		counts[twroutes.Pick(shared, id)]++
-		g.Expect(twroutes.Pick(shared, id)).To(Equal(twroutes.Pick(shared, id)))
+		counts[twroutes.Pick(weighted, id)]++
+		g.Expect(twroutes.Pick(weighted, id)).To(Equal(twroutes.Pick(weighted, id)))
 	}
 	g.Expect(counts["a"]).To(BeNumerically("~", 1800, 80))
 	g.Expect(counts["c"]).To(BeZero())
