--- a/internal/document/twparser/parser.go
+++ b/internal/document/twparser/parser.go
@@ -1,4 +1,5 @@
-// Package twparser reads and checks one environment's document.
+// Package twparser parses and validates an environment's configuration document. The operator's command line validates
+// a document with it before it is applied; daemons parse each new revision with it.
 package twparser
 
 import (
@@ -12,35 +13,39 @@
 )
 
 const (
-	defaultTimeoutMillis  = 5_000
+	defaultTimeoutMillis = 5_000
+	// defaultOpenDeferrable is the default limit of an account's open deferrable requests.
 	defaultOpenDeferrable = 10_000
-	maxMillis             = 3_600_000
-	keyDigits             = 64
+	// maxMillis bounds time-outs and latency targets, in milliseconds.
+	maxMillis = 3_600_000
+	// keyDigits is the number of hexadecimal digits of a SHA-256 digest.
+	keyDigits = 64
 )
 
-// Parser reads documents.
+// Parser parses the documents of one source.
 type Parser struct {
 	name string
 }
 
-// New returns a parser whose errors name the source.
+// New returns a Parser whose errors name the source, such as a file or a peer.
 func New(name string) *Parser { return &Parser{name: name} }
 
-// Parse reads, completes and checks a document; it refuses with a problem that names field and remedy.
+// Parse decodes the source, sets the defaults and validates the result. An invalid document gives a
+// *turmericwall.Problem of kind KindInvalidDocument that names the field and the remedy.
 func (p *Parser) Parse(revision int64, source []byte) (*turmericwall.Document, error) {
 	var tree turmericwall.DocumentTree
 	if err := twstrict.New(p.name, turmericwall.KindInvalidDocument).Decode(source, &tree); err != nil {
 		return nil, err
 	}
 	setDefaults(&tree)
-	if fault := check(&tree); fault != "" {
+	if fault := validate(&tree); fault != "" {
 		return nil, turmericwall.NewProblem(turmericwall.KindInvalidDocument, p.name+": "+fault,
 			"correct the field; docs/CONFIGURATION.md describes it")
 	}
 	return turmericwall.NewDocument(revision, Digest(source), source, tree), nil
 }
 
-// Digest names a document's bytes.
+// Digest returns the SHA-256 digest of a document's bytes in hexadecimal; it identifies the document.
 func Digest(source []byte) string {
 	sum := sha256.Sum256(source)
 	return hex.EncodeToString(sum[:])
@@ -59,26 +64,29 @@
 	}
 }
 
-func check(tree *turmericwall.DocumentTree) string {
-	checks := []func(*turmericwall.DocumentTree) string{checkServices, checkWork, checkAccounts, checkLinks}
-	for _, c := range checks {
-		if fault := c(tree); fault != "" {
+// validate returns the first fault of the document, as its field and what is wrong with it, or "".
+func validate(tree *turmericwall.DocumentTree) string {
+	validators := []func(*turmericwall.DocumentTree) string{
+		validateServices, validateWork, validateAccounts, validateLinks,
+	}
+	for _, validator := range validators {
+		if fault := validator(tree); fault != "" {
 			return fault
 		}
 	}
 	return ""
 }
 
-func checkServices(tree *turmericwall.DocumentTree) string {
+func validateServices(tree *turmericwall.DocumentTree) string {
 	names := map[string]bool{}
 	models := map[string]bool{}
 	for i, s := range tree.Services {
 		field := fmt.Sprintf("services[%d]", i)
 		if s.Name == "" || names[s.Name] {
-			return field + ".name: is missing or stands twice"
+			return field + ".name: is missing or used twice"
 		}
 		names[s.Name] = true
-		if fault := checkService(field, s); fault != "" {
+		if fault := validateService(field, s); fault != "" {
 			return fault
 		}
 		for _, m := range s.Models {
@@ -91,27 +99,27 @@
 	return ""
 }
 
-func checkService(field string, s turmericwall.Service) string {
+func validateService(field string, s turmericwall.Service) string {
 	if s.TimeoutMillis < 0 || s.TimeoutMillis > maxMillis {
-		return field + ".timeoutMillis: must lie between 1 and 3600000"
+		return field + ".timeoutMillis: must be between 1 and 3600000"
 	}
 	switch s.Type {
 	case turmericwall.ServiceEngines:
 		if len(s.Models) == 0 {
-			return field + ".models: an engines service needs a model"
+			return field + ".models: an engines service needs at least one model"
 		}
 		if len(s.Calls) > 0 {
 			return field + ".calls: only a plain service has calls"
 		}
 	case turmericwall.ServicePlain:
-		return checkCalls(field, s)
+		return validateCalls(field, s)
 	default:
 		return field + ".type: must be engines or plain"
 	}
 	return ""
 }
 
-func checkCalls(field string, s turmericwall.Service) string {
+func validateCalls(field string, s turmericwall.Service) string {
 	if len(s.Models) > 0 {
 		return field + ".models: only an engines service has models"
 	}
@@ -120,34 +128,34 @@
 			return fmt.Sprintf("%s.calls[%d]: needs a method and a path that starts with /", field, i)
 		}
 		if c.Method == http.MethodGet && !c.Repeatable {
-			return fmt.Sprintf("%s.calls[%d]: a GET is repeatable by its definition; set repeatable", field, i)
+			return fmt.Sprintf("%s.calls[%d]: a GET is always repeatable; set repeatable to true", field, i)
 		}
 	}
 	return ""
 }
 
-func checkWork(tree *turmericwall.DocumentTree) string {
+func validateWork(tree *turmericwall.DocumentTree) string {
 	names := map[string]bool{}
 	for i, w := range tree.Work {
 		field := fmt.Sprintf("work[%d]", i)
 		switch {
 		case w.Name == "" || names[w.Name]:
-			return field + ".name: is missing or stands twice"
+			return field + ".name: is missing or used twice"
 		case w.Worth <= 0:
 			return field + ".worth: must be above 0"
 		case w.Urgent && (w.FirstTokenMillis <= 0 || w.TokenGapMillis <= 0):
 			return field + ": urgent work needs firstTokenMillis and tokenGapMillis above 0"
 		case !w.Urgent && (w.FirstTokenMillis != 0 || w.TokenGapMillis != 0):
-			return field + ": work that may wait has no latency targets"
+			return field + ": work that is not urgent must not have firstTokenMillis or tokenGapMillis"
 		case w.FirstTokenMillis > maxMillis || w.TokenGapMillis > maxMillis:
-			return field + ": targets are in milliseconds and at most 3600000"
+			return field + ": firstTokenMillis and tokenGapMillis must be at most 3600000"
 		}
 		names[w.Name] = true
 	}
 	return ""
 }
 
-func checkAccounts(tree *turmericwall.DocumentTree) string {
+func validateAccounts(tree *turmericwall.DocumentTree) string {
 	names := map[string]bool{}
 	keys := map[string]bool{}
 	for i, a := range tree.Accounts {
@@ -155,26 +163,26 @@
 		digest, err := hex.DecodeString(a.KeySHA256)
 		switch {
 		case a.Name == "" || names[a.Name]:
-			return field + ".name: is missing or stands twice"
+			return field + ".name: is missing or used twice"
 		case err != nil || len(digest)*2 != keyDigits || keys[a.KeySHA256]:
 			return field + ".keySha256: must be 64 hexadecimal digits that no other account has"
 		case a.RequestsPerSecond <= 0 || a.Burst <= 0:
-			return field + ": needs requestsPerSecond and burst above 0"
+			return field + ": requestsPerSecond and burst must be above 0"
 		case a.OpenDeferrable < 0:
-			return field + ".openDeferrable: is negative"
+			return field + ".openDeferrable: must not be negative"
 		}
 		names[a.Name] = true
 		keys[a.KeySHA256] = true
-		if fault := checkAccountWork(tree, field, a); fault != "" {
+		if fault := validateAccountWork(tree, field, a); fault != "" {
 			return fault
 		}
 	}
 	return ""
 }
 
-func checkAccountWork(tree *turmericwall.DocumentTree, field string, a turmericwall.Account) string {
+func validateAccountWork(tree *turmericwall.DocumentTree, field string, a turmericwall.Account) string {
 	if len(a.Work) == 0 {
-		return field + ".work: names no kind of work"
+		return field + ".work: must name at least one kind of work"
 	}
 	for _, name := range a.Work {
 		known := false
@@ -188,10 +196,11 @@
 	return ""
 }
 
-func checkLinks(tree *turmericwall.DocumentTree) string {
+func validateLinks(tree *turmericwall.DocumentTree) string {
 	for i, l := range tree.Links {
 		if l.From == "" || l.To == "" || l.MegabytesPerSecond <= 0 || l.Cost < 0 {
-			return fmt.Sprintf("links[%d]: needs from, to, a rate above 0 and no negative cost", i)
+			return fmt.Sprintf(
+				"links[%d]: needs from and to, megabytesPerSecond above 0, and a cost that is not negative", i)
 		}
 	}
 	return ""
--- a/internal/document/twparser/parser_test.go
+++ b/internal/document/twparser/parser_test.go
@@ -26,7 +26,7 @@
 	"links": [{"from": "x", "to": "y", "megabytesPerSecond": 100}]
 }`
 
-func TestParseGivesTheDeclarations(t *testing.T) {
+func TestParseKeepsRevisionServicesAndSource(t *testing.T) {
 	g := NewWithT(t)
 	d, err := twparser.New("f").Parse(3, []byte(valid))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -37,10 +37,10 @@
 	g.Expect(d.Source()).To(Equal([]byte(valid)))
 }
 
-// Each document is wrong in one way: an operator must not be able to apply it, and the message must
-// name the field.
-func TestParseRefusesWithField(t *testing.T) {
-	for _, c := range []struct{ name, old, replacement, says string }{
+// Guards against an invalid document that is accepted, and against an error that does not name the field. Each
+// document is invalid in one way.
+func TestParseRejectsInvalidFieldByName(t *testing.T) {
+	for _, c := range []struct{ name, old, replacement, want string }{
 		{"unknown field", `"type": "engines"`, `"kind": "engines"`, "line 3"},
 		{"service twice", `"name": "desk"`, `"name": "llm"`, "services[1].name"},
 		{"no model", `"models": ["m"]`, `"models": []`, "services[0].models"},
@@ -51,7 +51,7 @@
 		{"timeout", `"calls"`, `"timeoutMillis": 9999999999, "calls"`, "services[1].timeoutMillis"},
 		{"no worth", `"worth": 5`, `"worth": 0`, "work[0].worth"},
 		{"no target", `"firstTokenMillis": 1200, `, ``, "work[0]"},
-		{"target of work that may wait", `"dossier", "worth"`, `"dossier", "tokenGapMillis": 5, "worth"`, "work[1]"},
+		{"target of non-urgent work", `"dossier", "worth"`, `"dossier", "tokenGapMillis": 5, "worth"`, "work[1]"},
 		{"unknown work", `["counter"]`, `["desk"]`, "accounts[0].work"},
 		{"key in the clear", `"keySha256": "0000`, `"keySha256": "my secret`, "accounts[0].keySha256"},
 		{"no rate", `"requestsPerSecond": 10`, `"requestsPerSecond": 0`, "accounts[0]"},
@@ -63,7 +63,7 @@
 			g.Expect(source).NotTo(Equal(valid))
 			_, err := twparser.New("doc.jsonc").Parse(1, []byte(source))
 			g.Expect(turmericwall.IsKind(err, turmericwall.KindInvalidDocument)).To(BeTrue())
-			g.Expect(err.Error()).To(And(ContainSubstring("doc.jsonc"), ContainSubstring(c.says)))
+			g.Expect(err.Error()).To(And(ContainSubstring("doc.jsonc"), ContainSubstring(c.want)))
 		})
 	}
 }
@@ -73,7 +73,7 @@
 	f.Fuzz(func(t *testing.T, source []byte) {
 		_, err := twparser.New("f").Parse(1, source)
 		if err != nil && !turmericwall.IsKind(err, turmericwall.KindInvalidDocument) {
-			t.Fatalf("an error without a kind: %v", err)
+			t.Fatalf("Parse returned an error that is not of kind KindInvalidDocument: %v", err)
 		}
 	})
 }
