--- a/internal/document/twrevision/holder.go
+++ b/internal/document/twrevision/holder.go
@@ -1,4 +1,5 @@
-// Package twrevision keeps the configuration in force at one daemon.
+// Package twrevision holds the configuration in force at one daemon. It polls the platform's table for new revisions,
+// and peers offer theirs; the packages that serve requests read the current one.
 package twrevision
 
 import (
@@ -13,13 +14,13 @@
 	"github.com/turmericwall/turmericwall/internal/document/twpublisher"
 )
 
-// pollInterval keeps 700 daemons at 350 reads a second of the platform's two thousand.
+// pollInterval keeps 700 daemons at 350 reads a second; the platform allows two thousand.
 const pollInterval = 2 * time.Second
 
 // Holder implements turmericwall.Documents.
 //
-// A stale reader, a restarted peer or a late answer may bring an older revision after a newer one.
-// The holder applies only higher revisions, so a configuration in force here never reverts.
+// A stale read, a restarted peer or a late answer may deliver an older revision after a newer one. The Holder applies
+// only higher revisions, so the configuration in force at this daemon never reverts.
 type Holder struct {
 	publisher *twpublisher.Publisher
 	clock     clockwork.Clock
@@ -30,14 +31,14 @@
 	current *turmericwall.Document
 }
 
-// Config names what the holder reads.
+// Config holds the dependencies of a Holder.
 type Config struct {
 	Publisher *twpublisher.Publisher
 	Clock     clockwork.Clock
 	Recorder  turmericwall.Recorder
 }
 
-// New returns a holder that knows no revision.
+// New returns a Holder without a revision.
 func New(config Config) *Holder {
 	return &Holder{
 		publisher: config.Publisher,
@@ -47,14 +48,14 @@
 	}
 }
 
-// Current returns the configuration in force.
+// Current returns the configuration in force, and false while there is none.
 func (h *Holder) Current() (*turmericwall.Document, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.current, h.current != nil
 }
 
-// Revision returns the revision in force; 0 while none is known.
+// Revision returns the number of the revision in force, or 0 while there is none.
 func (h *Holder) Revision() int64 {
 	document, ok := h.Current()
 	if !ok {
@@ -63,26 +64,30 @@
 	return document.Revision()
 }
 
-// Changed receives after a revision was applied.
+// Changed returns a channel that receives a value after a revision was applied. It holds one value, so several
+// revisions may be signalled as one.
 func (h *Holder) Changed() <-chan struct{} { return h.changed }
 
-// Offer applies the revision if it is higher than the one in force.
+// Offer applies the revision if it is higher than the one in force. An invalid document is logged and returned as the
+// error of the parser. The argument from names the sender: a peer, or the platform.
 func (h *Holder) Offer(revision int64, source []byte, from string) error {
 	if revision <= h.Revision() {
 		return nil
 	}
 	document, err := twparser.New(from).Parse(revision, source)
 	if err != nil {
-		h.recorder.Record(turmericwall.EventDocumentRejected).Int("revision", revision).Str("from", from).Err(err).Send()
+		h.recorder.Record(turmericwall.EventDocumentRejected).
+			Int("revision", revision).Str("from", from).Err(err).Send()
 		return err
 	}
 	if h.apply(document) {
-		h.recorder.Record(turmericwall.EventDocumentApplied).Int("revision", revision).Str("from", from).Str("digest", document.Digest()).Send()
+		h.recorder.Record(turmericwall.EventDocumentApplied).
+			Int("revision", revision).Str("from", from).Str("digest", document.Digest()).Send()
 	}
 	return nil
 }
 
-// Run reads the head row until ctx ends.
+// Run refreshes the configuration every pollInterval until ctx ends. A failed refresh is logged.
 func (h *Holder) Run(ctx context.Context) error {
 	ticker := h.clock.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -98,7 +103,7 @@
 	}
 }
 
-// Refresh reads the head row, and the revision it names if that is higher.
+// Refresh reads the head row from the platform's table, and applies the revision that it names if that is higher.
 func (h *Holder) Refresh(ctx context.Context) error {
 	head, _, err := h.publisher.Head(ctx)
 	if err != nil || head.Revision <= h.Revision() {
@@ -111,6 +116,7 @@
 	return h.Offer(head.Revision, entry.Source, "platform")
 }
 
+// apply puts the document in force and reports whether its revision is higher than the one before.
 func (h *Holder) apply(document *turmericwall.Document) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/document/twrevision/holder_test.go
+++ b/internal/document/twrevision/holder_test.go
@@ -17,8 +17,8 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twmemory"
 )
 
-func source(i int64) []byte {
-	return fmt.Appendf(nil, `{"services":[],"work":[{"name":"w","worth":%d}],"accounts":[]}`, i)
+func documentSource(worth int64) []byte {
+	return fmt.Appendf(nil, `{"services":[],"work":[{"name":"w","worth":%d}],"accounts":[]}`, worth)
 }
 
 func newHolder(publisher *twpublisher.Publisher) *twrevision.Holder {
@@ -28,9 +28,9 @@
 	})
 }
 
-// Revisions reach a daemon from the platform and from peers in any order, some of them stale, some of
-// them unreadable. What is in force only moves up, and is always the source of its revision.
-func TestRevisionInForceNeverGoesBack(t *testing.T) {
+// Guards against a configuration that reverts, and against a source that belongs to another revision. Revisions reach a
+// daemon in any order; some of them are stale and some can't be parsed.
+func TestRevisionInForceNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		h := newHolder(twpublisher.New(twpublisher.Config{Table: twmemory.New(), Environment: "e"}))
@@ -40,36 +40,37 @@
 			if rapid.IntRange(0, 4).Draw(t, "broken") == 0 {
 				_ = h.Offer(revision, []byte("{"), "peer")
 			} else {
-				g.Expect(h.Offer(revision, source(revision), "peer")).To(Succeed())
+				g.Expect(h.Offer(revision, documentSource(revision), "peer")).To(Succeed())
 				highest = max(highest, revision)
 			}
 			g.Expect(h.Revision()).To(Equal(highest))
 			if d, ok := h.Current(); ok {
-				g.Expect(bytes.Equal(d.Source(), source(d.Revision()))).To(BeTrue())
+				g.Expect(bytes.Equal(d.Source(), documentSource(d.Revision()))).To(BeTrue())
 			}
 		}
 	})
 }
 
-// Operators apply on top of revisions that they saw, in any order. Each accepted revision follows the
-// one before, nobody overwrites what he has not seen, and a daemon ends with the last one.
-func TestRacingOperatorsNeverOverwriteUnseen(t *testing.T) {
+// Guards against an operator who overwrites a revision without having read it. Operators apply documents in any order,
+// each on top of the last revision that it read. An apply succeeds only on top of the latest accepted revision, and a
+// daemon ends with the last one.
+func TestOperatorNeverOverwritesUnreadRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		ctx := t.Context()
 		p := twpublisher.New(twpublisher.Config{Table: twmemory.New(), Environment: "e"})
-		seen := []int64{0, 0, 0}
+		lastRead := []int64{0, 0, 0}
 		accepted := int64(0)
 		for i := range rapid.IntRange(1, 20).Draw(t, "steps") {
 			operator := rapid.IntRange(0, 2).Draw(t, "operator")
 			if rapid.Bool().Draw(t, "looks") {
 				head, _, err := p.Head(ctx)
 				g.Expect(err).NotTo(HaveOccurred())
-				seen[operator] = head.Revision
+				lastRead[operator] = head.Revision
 				continue
 			}
-			_, err := p.Apply(ctx, seen[operator], twpublisher.Entry{Source: source(int64(100 + i))})
-			g.Expect(err == nil).To(Equal(seen[operator] == accepted))
+			_, err := p.Apply(ctx, lastRead[operator], twpublisher.Entry{Source: documentSource(int64(100 + i))})
+			g.Expect(err == nil).To(Equal(lastRead[operator] == accepted))
 			if err == nil {
 				accepted++
 			}
