--- a/internal/document/twpublisher/publisher.go
+++ b/internal/document/twpublisher/publisher.go
@@ -1,4 +1,6 @@
-// Package twpublisher writes an environment's document to the platform's table.
+// Package twpublisher stores the configuration documents of an environment in the platform's table: a head row that
+// names the accepted revision, a row for each revision, and the proofs of documents that were in force. The operator's
+// command line writes them; twrevision reads them at each daemon.
 package twpublisher
 
 import (
@@ -13,38 +15,40 @@
 	"github.com/turmericwall/turmericwall/internal/document/twparser"
 )
 
+// historyLimit bounds the revisions that History reads.
 const historyLimit = 1000
 
-// Publisher applies documents to one environment by compare-and-set on its head row.
+// Publisher reads and writes the documents of one environment. It applies a document by compare-and-set on the head
+// row.
 type Publisher struct {
 	table       turmericwall.Table
 	environment string
 }
 
-// Config names the environment.
+// Config holds the dependencies of a Publisher.
 type Config struct {
 	Table       turmericwall.Table
 	Environment string
 }
 
-// Head is the row that says which revision is accepted.
+// Head is the row that names the accepted revision.
 type Head struct {
 	Revision int64  `json:"revision"`
 	Digest   string `json:"digest"`
 }
 
-// Entry is one accepted revision.
+// Entry is the row of one accepted revision.
 type Entry struct {
 	Revision int64     `json:"revision"`
 	Digest   string    `json:"digest"`
 	Source   []byte    `json:"source"`
 	At       time.Time `json:"at"`
 	Operator string    `json:"operator"`
-	// PromotedFrom names the environment in which these bytes were proved.
+	// PromotedFrom names the environment in which the same bytes were proved.
 	PromotedFrom string `json:"promotedFrom,omitempty"`
 }
 
-// Proof records that a document was in force and how it went.
+// Proof is the row that records on which VMs a document was in force, and how many requests they answered and failed.
 type Proof struct {
 	Environment string    `json:"environment"`
 	Revision    int64     `json:"revision"`
@@ -55,12 +59,12 @@
 	At          time.Time `json:"at"`
 }
 
-// New returns a publisher.
+// New returns a Publisher for the environment of the config.
 func New(config Config) *Publisher {
 	return &Publisher{table: config.Table, environment: config.Environment}
 }
 
-// Head returns the accepted head and its row version; a fresh environment has revision 0 and version 0.
+// Head returns the head and the version of its row. A new environment has revision 0 and version 0.
 func (p *Publisher) Head(ctx context.Context) (Head, int64, error) {
 	row, ok, err := p.table.Get(ctx, p.headKey())
 	if err != nil || !ok {
@@ -73,7 +77,7 @@
 	return head, row.Version, nil
 }
 
-// Entry returns one accepted revision.
+// Entry returns one accepted revision, or a *turmericwall.Problem of kind KindNotFound.
 func (p *Publisher) Entry(ctx context.Context, revision int64) (Entry, error) {
 	row, ok, err := p.table.Get(ctx, p.entryKey(revision))
 	if err != nil {
@@ -86,7 +90,7 @@
 	return decodeEntry(row)
 }
 
-// History returns the newest revisions first.
+// History returns up to historyLimit revisions, the newest first.
 func (p *Publisher) History(ctx context.Context) ([]Entry, error) {
 	rows, err := p.table.List(ctx, p.entryPrefix(), "", historyLimit)
 	if err != nil {
@@ -103,11 +107,12 @@
 	return entries, nil
 }
 
-// Apply makes the entry's bytes the next revision after base.
+// Apply validates the entry's document, stores it as the revision after base and returns the new head. An invalid
+// document gives a *turmericwall.Problem of kind KindInvalidDocument.
 //
-// Operators race one another: the head row's condition lets one of them win, and the other gets a
-// problem of kind KindConflict instead of overwriting what it has not seen. An apply that is sent
-// again after its answer was lost finds its own bytes at the next revision and succeeds.
+// When operators race, the condition on the head row lets one of them succeed; the other gets a *turmericwall.Problem
+// of kind KindConflict instead of overwriting a revision that it has not read. An apply that is retried after its
+// answer was lost finds its own bytes at the next revision and succeeds.
 func (p *Publisher) Apply(ctx context.Context, base int64, entry Entry) (Head, error) {
 	if _, err := twparser.New(p.environment).Parse(base+1, entry.Source); err != nil {
 		return Head{}, err
@@ -131,7 +136,7 @@
 	return next, err
 }
 
-// Prove records the proof of the digest.
+// Prove stores the proof under its digest and replaces an earlier one.
 func (p *Publisher) Prove(ctx context.Context, proof Proof) error {
 	value, err := json.Marshal(proof)
 	if err != nil {
@@ -146,7 +151,7 @@
 	}})
 }
 
-// Proof returns the proof of the digest, or a problem of kind KindNotFound.
+// Proof returns the proof of the document with the digest, or a *turmericwall.Problem of kind KindNotFound.
 func (p *Publisher) Proof(ctx context.Context, digest string) (Proof, error) {
 	row, ok, err := p.table.Get(ctx, proofKey(digest))
 	if err != nil {
@@ -163,6 +168,7 @@
 	return proof, nil
 }
 
+// commit writes the head and the revision in one transaction, on the condition that the head row has the version.
 func (p *Publisher) commit(ctx context.Context, head Head, version int64, entry Entry) error {
 	headValue, err := json.Marshal(head)
 	if err != nil {
@@ -181,7 +187,7 @@
 func (p *Publisher) conflict(base, current int64) error {
 	return turmericwall.NewProblem(turmericwall.KindConflict,
 		fmt.Sprintf("%s is at revision %d, not %d: another operator was first", p.environment, current, base),
-		"look at diff, then apply on top of the current revision")
+		"run diff, then apply on top of the current revision")
 }
 
 func (p *Publisher) headKey() string     { return "documents/" + p.environment + "/head" }
