--- a/internal/platform/twtable/table.go
+++ b/internal/platform/twtable/table.go
@@ -1,4 +1,5 @@
-// Package twtable is the client of the platform's table service.
+// Package twtable is the HTTP client of the platform's table service. Everything that a daemon must not lose is stored
+// through it: claims, deferrable requests and configuration documents.
 package twtable
 
 import (
@@ -16,8 +17,9 @@
 )
 
 const (
-	settleFor     = 5 * time.Second
-	firstInterval = 50 * time.Millisecond
+	// commitTimeout bounds the retries of a transaction whose answer was lost.
+	commitTimeout      = 5 * time.Second
+	firstRetryInterval = 50 * time.Millisecond
 )
 
 // Table implements turmericwall.Table over HTTP.
@@ -25,10 +27,10 @@
 	client *twhttp.Client
 }
 
-// New returns a table that calls through the client.
+// New returns a Table that sends its requests through the client.
 func New(client *twhttp.Client) *Table { return &Table{client: client} }
 
-// Get reads one row.
+// Get returns the row, and false when there is none.
 func (t *Table) Get(ctx context.Context, key string) (turmericwall.Row, bool, error) {
 	reply, err := t.client.Get(ctx, "/table/row?key="+url.QueryEscape(key))
 	if err != nil {
@@ -44,7 +46,8 @@
 	return row, true, nil
 }
 
-// List reads a run of rows in the order of their keys.
+// List returns at most limit rows whose key starts with prefix and sorts after the key after, in the order of their
+// keys.
 func (t *Table) List(ctx context.Context, prefix, after string, limit int) ([]turmericwall.Row, error) {
 	query := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	reply, err := t.client.Get(ctx, "/table/rows?"+query.Encode())
@@ -58,28 +61,29 @@
 	return rows, nil
 }
 
-// Commit applies the transaction.
+// Commit applies all writes of the transaction, or none and returns a *turmericwall.ConflictError. It retries for up to
+// commitTimeout while the platform is unavailable; after that the transaction may have taken effect.
 //
-// An answer can be lost after the writes took effect. The same transaction is then sent again: its
-// conditions keep it from taking effect twice, and a conflict with a row that carries the
-// transaction's own token means that the first one did take effect.
+// An answer can be lost after the writes took effect. The same transaction is then sent again: its conditions prevent
+// it from taking effect twice, and a conflict with a row that carries the transaction's own token means that the
+// earlier one took effect.
 func (t *Table) Commit(ctx context.Context, transaction turmericwall.Transaction) error {
-	interval := backoff.NewExponentialBackOff()
-	interval.InitialInterval = firstInterval
-	lost := false
+	retryInterval := backoff.NewExponentialBackOff()
+	retryInterval.InitialInterval = firstRetryInterval
+	answerLost := false
 	attempt := func() (bool, error) {
-		err := t.commitOnce(ctx, transaction, lost)
+		err := t.commitOnce(ctx, transaction, answerLost)
 		if err != nil && !turmericwall.IsKind(err, turmericwall.KindStoreUnavailable) {
 			return false, backoff.Permanent(err)
 		}
-		lost = err != nil
+		answerLost = err != nil
 		return err == nil, err
 	}
-	_, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(interval), backoff.WithMaxElapsedTime(settleFor))
+	_, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(retryInterval), backoff.WithMaxElapsedTime(commitTimeout))
 	return err
 }
 
-func (t *Table) commitOnce(ctx context.Context, transaction turmericwall.Transaction, lost bool) error {
+func (t *Table) commitOnce(ctx context.Context, transaction turmericwall.Transaction, answerLost bool) error {
 	reply, err := t.client.Post(ctx, "/table/transactions", transaction)
 	if err != nil {
 		return fmt.Errorf("commit %d writes: %w", len(transaction.Writes), err)
@@ -88,30 +92,37 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
-		return t.conflict(ctx, transaction, reply, lost)
+		return t.resolveConflict(ctx, transaction, reply, answerLost)
 	default:
-		return fmt.Errorf("commit %d writes: the platform answered status %d, check its version", len(transaction.Writes), reply.Status())
+		return fmt.Errorf("commit %d writes: the platform answered status %d, check its version",
+			len(transaction.Writes), reply.Status())
 	}
 }
 
+// conflictReply is the body of a conflict; it names the row whose condition failed.
 type conflictReply struct {
 	Key string `json:"key"`
 }
 
-func (t *Table) conflict(ctx context.Context, transaction turmericwall.Transaction, reply twhttp.Reply, lost bool) error {
+// resolveConflict returns the conflict in the reply, or nil when an earlier attempt of the transaction took effect.
+func (t *Table) resolveConflict(
+	ctx context.Context, transaction turmericwall.Transaction, reply twhttp.Reply, answerLost bool,
+) error {
 	var conflict conflictReply
 	if err := reply.Decode(&conflict); err != nil {
 		return err
 	}
-	if !lost {
+	if !answerLost {
 		return turmericwall.NewConflictError(conflict.Key)
 	}
-	return t.settle(ctx, transaction, conflict.Key)
+	return t.confirmCommit(ctx, transaction, conflict.Key)
 }
 
-// settle looks for the transaction's token in the rows it wrote: the writes took effect together,
-// so one row that carries the token is enough.
-func (t *Table) settle(ctx context.Context, transaction turmericwall.Transaction, conflicting string) error {
+// confirmCommit returns nil when one of the transaction's rows carries its token, and the conflict otherwise. The
+// writes took effect together, so one row that carries the token is enough.
+func (t *Table) confirmCommit(
+	ctx context.Context, transaction turmericwall.Transaction, conflictingKey string,
+) error {
 	for _, w := range transaction.Writes {
 		row, ok, err := t.Get(ctx, w.Key)
 		if err != nil {
@@ -121,5 +132,5 @@
 			return nil
 		}
 	}
-	return turmericwall.NewConflictError(conflicting)
+	return turmericwall.NewConflictError(conflictingKey)
 }
