--- a/internal/platform/twobject/store.go
+++ b/internal/platform/twobject/store.go
@@ -1,4 +1,5 @@
-// Package twobject is the client of the platform's object store.
+// Package twobject is the HTTP client of the platform's object store. The ledger stores the prompts in it that are too
+// long for a row.
 package twobject
 
 import (
@@ -17,14 +18,14 @@
 	client *twhttp.Client
 }
 
-// New returns a store that calls through the client.
+// New returns a Store that sends its requests through the client.
 func New(client *twhttp.Client) *Store { return &Store{client: client} }
 
-// Put stores the object if the name is free. A name that holds the same bytes is what a lost answer
-// leaves behind, and is no error.
+// Put stores the object unless the name exists. An existing object with the same bytes is no error, because a lost
+// answer leaves one behind; one with other bytes gives a *turmericwall.ConflictError.
 func (s *Store) Put(ctx context.Context, name string, content []byte) error {
 	header := http.Header{"If-None-Match": {"*"}}
-	reply, err := s.client.Do(ctx, http.MethodPut, path(name), header, content)
+	reply, err := s.client.Do(ctx, http.MethodPut, objectPath(name), header, content)
 	if err != nil {
 		return fmt.Errorf("store object %q: %w", name, err)
 	}
@@ -41,9 +42,9 @@
 	return nil
 }
 
-// Get reads the object.
+// Get returns the object's bytes, and false when there is no such object.
 func (s *Store) Get(ctx context.Context, name string) ([]byte, bool, error) {
-	reply, err := s.client.Get(ctx, path(name))
+	reply, err := s.client.Get(ctx, objectPath(name))
 	if err != nil {
 		return nil, false, fmt.Errorf("read object %q: %w", name, err)
 	}
@@ -53,4 +54,4 @@
 	return reply.Body(), true, nil
 }
 
-func path(name string) string { return "/objects/" + url.PathEscape(name) }
+func objectPath(name string) string { return "/objects/" + url.PathEscape(name) }
