--- a/internal/platform/twvmlist/list.go
+++ b/internal/platform/twvmlist/list.go
@@ -1,4 +1,4 @@
-// Package twvmlist is the client of the platform's list of VMs.
+// Package twvmlist is the HTTP client of the platform's list of VMs. Daemons find their peers and the upstreams in it.
 package twvmlist
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twhttp"
 )
 
-// List implements turmericwall.VMLister over HTTP.
-type List struct {
+// Lister implements turmericwall.VMLister over HTTP.
+type Lister struct {
 	client *twhttp.Client
 }
 
-// New returns a list that calls through the client.
-func New(client *twhttp.Client) *List { return &List{client: client} }
+// New returns a Lister that sends its requests through the client.
+func New(client *twhttp.Client) *Lister { return &Lister{client: client} }
 
-// List reads the whole list.
-func (l *List) List(ctx context.Context) ([]turmericwall.VM, error) {
+// List returns all VMs that the platform lists; the list lags behind the actual VMs.
+func (l *Lister) List(ctx context.Context) ([]turmericwall.VM, error) {
 	reply, err := l.client.Get(ctx, "/vms")
 	if err != nil {
 		return nil, fmt.Errorf("read the VM list: %w", err)
