--- a/internal/platform/twgroup/committer.go
+++ b/internal/platform/twgroup/committer.go
@@ -1,4 +1,5 @@
-// Package twgroup groups small sets of writes into transactions of the table service.
+// Package twgroup batches small sets of writes into transactions of the platform's table service. The claims and the
+// ledger of a daemon write through it, so that all daemons together stay within the platform's limit.
 package twgroup
 
 import (
@@ -13,38 +14,39 @@
 )
 
 const (
-	maxGroup  = 64
+	// maxBatch bounds the callers whose writes one transaction contains.
+	maxBatch  = 64
 	queueSize = 1024
-	// parallel commits keep one slow transaction from holding up the rest.
-	parallel = 4
-	// transactionsPerSecond is what all daemons together make at the most.
+	// workers commit in parallel, so that one slow transaction does not delay the others.
+	workers = 4
+	// transactionsPerSecond bounds the transactions of all daemons together.
 	transactionsPerSecond = 300
-	// burst is how many transactions a quiet daemon may make without waiting.
+	// burst is the number of transactions that an idle daemon may make without waiting.
 	burst = 8
 )
 
 // Committer implements turmericwall.Writer.
 //
-// The platform takes several hundred writes a second in all. Each daemon makes at most its share of
-// transactions; writes that arrive meanwhile wait and go together in the next one. While few come, none
-// waits. Without the share a fair day's bookings would each be two transactions, and the platform would
-// refuse some of them.
+// The platform accepts several hundred writes a second in total. Each daemon makes at most its share of
+// transactionsPerSecond; writes that arrive meanwhile wait and are committed together in the next transaction. At a low
+// rate of writes none waits. Without this limit, each booking on the day of a fair would cost two transactions, and the
+// platform would refuse some of them.
 type Committer struct {
 	table        turmericwall.Table
 	recorder     turmericwall.Recorder
 	daemons      func() int
 	limiter      *rate.Limiter
-	waiting      chan *pending
+	queue        chan *pending
 	writes       metrics.Counter
 	transactions metrics.Counter
 }
 
-// Config names what the committer writes to.
+// Config holds the dependencies of a Committer.
 type Config struct {
 	Table    turmericwall.Table
 	Registry metrics.Registry
 	Recorder turmericwall.Recorder
-	// Daemons counts the daemons that share the platform; nil counts one.
+	// Daemons returns the number of daemons that share the platform; nil means one.
 	Daemons func() int
 }
 
@@ -54,24 +56,26 @@
 	done   chan error
 }
 
-// New returns a committer; it writes while Run runs.
+// New returns a Committer. It commits only while Run runs.
 func New(config Config) *Committer {
 	return &Committer{
 		table:        config.Table,
 		recorder:     config.Recorder,
 		daemons:      config.Daemons,
 		limiter:      rate.NewLimiter(transactionsPerSecond, burst),
-		waiting:      make(chan *pending, queueSize),
+		queue:        make(chan *pending, queueSize),
 		writes:       metrics.GetOrRegisterCounter("platform.writes", config.Registry),
 		transactions: metrics.GetOrRegisterCounter("platform.transactions", config.Registry),
 	}
 }
 
-// Write waits until the writes are durable, or failed.
+// Write queues the writes and waits until they are durable or have failed. It returns a *turmericwall.ConflictError
+// when a condition fails, and a *turmericwall.Problem of kind KindStoreUnavailable when the writes were not confirmed
+// before ctx ended; they may then still take effect.
 func (c *Committer) Write(ctx context.Context, writes ...turmericwall.Write) error {
 	p := &pending{writes: writes, done: make(chan error, 1)}
 	select {
-	case c.waiting <- p:
+	case c.queue <- p:
 	case <-ctx.Done():
 		return unavailable(ctx.Err())
 	}
@@ -83,34 +87,35 @@
 	}
 }
 
-// Run commits groups until ctx ends.
+// Run commits batches of queued writes until ctx ends.
 func (c *Committer) Run(ctx context.Context) error {
 	ends := make(chan struct{})
-	for range parallel {
+	for range workers {
 		go func() {
-			c.work(ctx)
+			c.commitBatches(ctx)
 			ends <- struct{}{}
 		}()
 	}
-	for range parallel {
+	for range workers {
 		<-ends
 	}
 	return nil
 }
 
-func (c *Committer) work(ctx context.Context) {
+// commitBatches commits one batch after the other until ctx ends.
+func (c *Committer) commitBatches(ctx context.Context) {
 	var next *pending
 	for {
-		first, ok := c.first(ctx, next)
+		first, ok := c.nextPending(ctx, next)
 		if !ok {
 			return
 		}
 		if c.awaitShare(ctx) != nil {
 			return
 		}
-		var group []*pending
-		group, next = c.gather(first)
-		c.commit(ctx, group)
+		var batch []*pending
+		batch, next = c.collectBatch(first)
+		c.commit(ctx, batch)
 	}
 }
 
@@ -122,81 +127,85 @@
 	return c.limiter.Wait(ctx)
 }
 
-func (c *Committer) first(ctx context.Context, held *pending) (*pending, bool) {
-	if held != nil {
-		return held, true
+// nextPending returns the pending writes that the last batch left over, or waits for queued ones.
+func (c *Committer) nextPending(ctx context.Context, leftOver *pending) (*pending, bool) {
+	if leftOver != nil {
+		return leftOver, true
 	}
 	select {
-	case p := <-c.waiting:
+	case p := <-c.queue:
 		return p, true
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// gather takes what waits, up to a group. A second write of the same row goes in the next group:
-// its condition speaks of the first one's result.
-func (c *Committer) gather(first *pending) (group []*pending, next *pending) {
-	group = []*pending{first}
+// collectBatch adds queued writes to the first ones, up to maxBatch callers. A second write of the same row is left for
+// the next batch, because its condition refers to the result of the first one.
+func (c *Committer) collectBatch(first *pending) (batch []*pending, next *pending) {
+	batch = []*pending{first}
 	keys := make(map[string]bool)
-	first.noteKeys(keys)
-	for len(group) < maxGroup {
+	first.addKeys(keys)
+	for len(batch) < maxBatch {
 		select {
-		case p := <-c.waiting:
-			if p.touches(keys) {
-				return group, p
+		case p := <-c.queue:
+			if p.writesAny(keys) {
+				return batch, p
 			}
-			p.noteKeys(keys)
-			group = append(group, p)
+			p.addKeys(keys)
+			batch = append(batch, p)
 		default:
-			return group, nil
+			return batch, nil
 		}
 	}
-	return group, nil
+	return batch, nil
 }
 
-// commit writes the group; a write whose condition fails is answered and taken out, and the rest
-// goes on without it.
-func (c *Committer) commit(ctx context.Context, group []*pending) {
-	for len(group) > 0 {
-		err := c.table.Commit(ctx, transactionOf(group))
+// commit commits the batch and answers its callers. A caller whose condition fails is answered with the conflict and
+// removed from the batch, and the rest is committed without it.
+func (c *Committer) commit(ctx context.Context, batch []*pending) {
+	for len(batch) > 0 {
+		err := c.table.Commit(ctx, transactionOf(batch))
 		c.transactions.Inc(1)
-		c.writes.Inc(int64(countWrites(group)))
+		c.writes.Inc(int64(countWrites(batch)))
 		key, conflicting := conflictKey(err)
 		if turmericwall.IsKind(err, turmericwall.KindStoreUnavailable) {
-			c.recorder.Record(turmericwall.EventStoreUnavailable).Int("writes", int64(countWrites(group))).Err(err).Send()
+			c.recorder.Record(turmericwall.EventStoreUnavailable).
+				Int("writes", int64(countWrites(batch))).Err(err).Send()
 		}
 		if !conflicting {
-			answer(group, err)
+			answerAll(batch, err)
 			return
 		}
-		group = without(group, key, err)
+		batch = removeConflicting(batch, key, err)
 	}
 }
 
-func transactionOf(group []*pending) turmericwall.Transaction {
+func transactionOf(batch []*pending) turmericwall.Transaction {
 	transaction := turmericwall.Transaction{Token: uuid.NewString()}
-	for _, p := range group {
+	for _, p := range batch {
 		transaction.Writes = append(transaction.Writes, p.writes...)
 	}
 	return transaction
 }
 
-func countWrites(group []*pending) int {
+func countWrites(batch []*pending) int {
 	count := 0
-	for _, p := range group {
+	for _, p := range batch {
 		count += len(p.writes)
 	}
 	return count
 }
 
-func (p *pending) noteKeys(keys map[string]bool) {
+// addKeys adds the keys of the rows that p writes.
+func (p *pending) addKeys(keys map[string]bool) {
 	for _, w := range p.writes {
 		keys[w.Key] = true
 	}
 }
 
-func (p *pending) touches(keys map[string]bool) bool {
+// writesAny reports whether p writes a row with one of the keys.
+func (p *pending) writesAny(keys map[string]bool) bool {
 	for _, w := range p.writes {
 		if keys[w.Key] {
 			return true
@@ -213,29 +222,32 @@
 	return conflict.Key(), true
 }
 
-func without(group []*pending, key string, err error) []*pending {
-	rest := group[:0:0]
-	for _, p := range group {
-		if p.touches(map[string]bool{key: true}) {
+// removeConflicting answers the callers that write the row with the conflict, and returns the others. When no caller
+// writes the row, it answers all callers with the conflict and returns none.
+func removeConflicting(batch []*pending, key string, err error) []*pending {
+	rest := batch[:0:0]
+	for _, p := range batch {
+		if p.writesAny(map[string]bool{key: true}) {
 			p.done <- err
 			continue
 		}
 		rest = append(rest, p)
 	}
-	if len(rest) == len(group) {
-		answer(group, err)
+	if len(rest) == len(batch) {
+		answerAll(batch, err)
 		return nil
 	}
 	return rest
 }
 
-func answer(group []*pending, err error) {
-	for _, p := range group {
+func answerAll(batch []*pending, err error) {
+	for _, p := range batch {
 		p.done <- err
 	}
 }
 
 func unavailable(cause error) error {
 	return turmericwall.NewProblem(turmericwall.KindStoreUnavailable,
-		"the write was not confirmed in time", "try again later").WithOutcome(turmericwall.OutcomeUnknown).WithCause(cause)
+		"the write was not confirmed in time", "retry later").
+		WithOutcome(turmericwall.OutcomeUnknown).WithCause(cause)
 }
--- a/internal/platform/twgroup/committer_test.go
+++ b/internal/platform/twgroup/committer_test.go
@@ -13,7 +13,8 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twmemory"
 )
 
-func start(t *testing.T) (*twgroup.Committer, *twmemory.Table) {
+// startCommitter runs a Committer on an empty table until the test ends.
+func startCommitter(t *testing.T) (*twgroup.Committer, *twmemory.Table) {
 	table := twmemory.New()
 	committer := twgroup.New(twgroup.Config{Table: table, Registry: metrics.NewRegistry()})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -26,11 +27,11 @@
 	return committer, table
 }
 
-// Many callers write at once, and one of them has a condition that fails. It alone gets the conflict;
-// the writes that went in the same group are durable.
-func TestOneConflictDoesNotFailTheGroup(t *testing.T) {
+// Guards against a conflict that fails writes of other callers. 200 callers write at the same time, and the condition
+// of one of them fails. Only this caller gets the conflict; the other writes are durable.
+func TestConflictOfOneCallerDoesNotFailItsBatch(t *testing.T) {
 	g := NewWithT(t)
-	committer, table := start(t)
+	committer, table := startCommitter(t)
 	const callers = 200
 	errs := make([]chan error, callers)
 	for i := range callers {
@@ -52,12 +53,14 @@
 	g.Expect(rows).To(HaveLen(callers - 1))
 }
 
-// A daemon that shares the platform with many others gets far more writes than it may make transactions.
-// All are durable, in few transactions: the platform is not overrun, and nobody is refused.
-func TestWritesBeyondTheShareGoTogether(t *testing.T) {
+// Guards against a daemon that exceeds its share of transactions. One of 100 daemons gets 600 writes at the same time,
+// far more than its share. All of them are durable, in at most 30 transactions.
+func TestWritesBeyondTheShareAreBatched(t *testing.T) {
 	g := NewWithT(t)
 	registry := metrics.NewRegistry()
-	committer := twgroup.New(twgroup.Config{Table: twmemory.New(), Registry: registry, Daemons: func() int { return 100 }})
+	committer := twgroup.New(twgroup.Config{
+		Table: twmemory.New(), Registry: registry, Daemons: func() int { return 100 },
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- committer.Run(ctx) }()
@@ -75,10 +78,10 @@
 	<-ended
 }
 
-// Two callers race to create the same row. One wins, whether or not they met in one group.
+// Two callers race to create the same row. One of them succeeds, whether or not both are in one batch.
 func TestOneOfTwoRacingWritersWins(t *testing.T) {
 	g := NewWithT(t)
-	committer, _ := start(t)
+	committer, _ := startCommitter(t)
 	errs := make(chan error, 2)
 	for range 2 {
 		go func() { errs <- committer.Write(context.Background(), turmericwall.Write{Key: "same"}) }()
