--- a/internal/platform/twhttp/client.go
+++ b/internal/platform/twhttp/client.go
@@ -1,4 +1,5 @@
-// Package twhttp speaks JSON over HTTP with the platform's service.
+// Package twhttp sends requests to the platform's service and reads its JSON replies. The clients of the table service,
+// of the object store and of the VM list are built on it.
 package twhttp
 
 import (
@@ -18,12 +19,13 @@
 
 // Limits of one call to the platform.
 const (
-	callTimeout  = 2 * time.Second
+	callTimeout = 2 * time.Second
+	// maxBodyBytes is the number of bytes that are read of a reply.
 	maxBodyBytes = 64 << 20
-	idleConns    = 32
+	maxIdleConns = 32
 )
 
-// Client calls the platform's service. Its methods may be used by several goroutines.
+// Client sends requests to the platform's service. Its methods may be called by several goroutines.
 type Client struct {
 	address  string
 	http     *http.Client
@@ -31,17 +33,17 @@
 	messages metrics.Counter
 }
 
-// Config says where the platform's service is.
+// Config holds the address of the platform's service and the registry of its metrics.
 type Config struct {
 	// Address is the base URL, such as http://10.0.0.9:7000.
 	Address string
-	// Registry counts what the platform costs; nil counts nothing that anybody sees.
+	// Registry counts the replies and bytes received from the platform; nil discards the counts.
 	Registry metrics.Registry
 }
 
-// New returns a client.
+// New returns a Client for the address of the config.
 func New(config Config) *Client {
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: callTimeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: callTimeout}
 	if config.Registry == nil {
 		config.Registry = metrics.NewRegistry()
 	}
@@ -53,48 +55,49 @@
 	}
 }
 
-// Reply is one answer of the platform.
+// Reply is the platform's reply to one request.
 type Reply struct {
 	status int
 	body   []byte
 }
 
-// Status returns the HTTP status.
+// Status returns the HTTP status code.
 func (r Reply) Status() int { return r.status }
 
-// Body returns the answer's bytes.
+// Body returns the bytes of the reply's body.
 func (r Reply) Body() []byte { return r.body }
 
-// Decode reads the answer's JSON into target.
+// Decode decodes the JSON body into target.
 func (r Reply) Decode(target any) error {
 	if err := json.Unmarshal(r.body, target); err != nil {
-		return fmt.Errorf("decode the platform's answer, check its version: %w", err)
+		return fmt.Errorf("decode the platform's reply, check its version: %w", err)
 	}
 	return nil
 }
 
-// Get reads a path.
+// Get sends a GET request for the path.
 func (c *Client) Get(ctx context.Context, path string) (Reply, error) {
 	return c.Do(ctx, http.MethodGet, path, nil, nil)
 }
 
-// Post sends a value as JSON.
+// Post sends a POST request with the value as JSON.
 func (c *Client) Post(ctx context.Context, path string, value any) (Reply, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return Reply{}, fmt.Errorf("encode the call of %s: %w", path, err)
+		return Reply{}, fmt.Errorf("encode the request to %s: %w", path, err)
 	}
 	return c.Do(ctx, http.MethodPost, path, http.Header{"Content-Type": {"application/json"}}, body)
 }
 
-// Do sends one call within its timeout. Any failure to get an answer is a problem of kind
-// KindStoreUnavailable: the call may have taken effect.
+// Do sends one request and waits up to callTimeout for the reply. A request without a reply, or with the status 429 or
+// one from 500 up, gives a *turmericwall.Problem of kind KindStoreUnavailable: the request may have taken effect. The
+// caller handles all other statuses.
 func (c *Client) Do(ctx context.Context, method, path string, header http.Header, body []byte) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, c.address+path, bytes.NewReader(body))
 	if err != nil {
-		return Reply{}, fmt.Errorf("build the call of %s, check the platform's address: %w", path, err)
+		return Reply{}, fmt.Errorf("build the request to %s, check the platform's address: %w", path, err)
 	}
 	for name, values := range header {
 		request.Header[name] = values
@@ -118,5 +121,6 @@
 
 func unavailable(cause error) error {
 	return turmericwall.NewProblem(turmericwall.KindStoreUnavailable,
-		"the platform's service gave no answer", "try again later; if it lasts, check the platform").WithCause(cause)
+		"the platform's service is unavailable", "retry later; check the platform if the error persists").
+		WithCause(cause)
 }
