--- a/internal/platform/twmemory/table.go
+++ b/internal/platform/twmemory/table.go
@@ -1,4 +1,4 @@
-// Package twmemory is a table service in memory, for stand-ins and tests.
+// Package twmemory implements the platform's table service in memory, for the simulated platform and for tests.
 package twmemory
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Table implements turmericwall.Table with the platform's semantics.
+// Table implements turmericwall.Table with the conditions, versions and tokens of the platform's table service.
 type Table struct {
 	mu   sync.Mutex
 	rows map[string]turmericwall.Row
 }
 
-// New returns an empty table.
+// New returns an empty Table.
 func New() *Table { return &Table{rows: make(map[string]turmericwall.Row)} }
 
-// Get returns the row.
+// Get returns the row, and false when there is none.
 func (t *Table) Get(_ context.Context, key string) (turmericwall.Row, bool, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,7 +27,8 @@
 	return row, ok, nil
 }
 
-// List returns a run of rows in the order of their keys.
+// List returns at most limit rows whose key starts with prefix and sorts after the key after, in the order of their
+// keys.
 func (t *Table) List(_ context.Context, prefix, after string, limit int) ([]turmericwall.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,7 +42,8 @@
 	return rows[:min(limit, len(rows))], nil
 }
 
-// Commit applies all writes, or returns the conflict with the first row whose condition fails.
+// Commit applies all writes, or none and returns a *turmericwall.ConflictError that names the first row whose condition
+// fails.
 func (t *Table) Commit(_ context.Context, transaction turmericwall.Transaction) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
