--- a/internal/ledger/twledger/ledger.go
+++ b/internal/ledger/twledger/ledger.go
@@ -37,7 +37,7 @@
 // prevents a former owner that resumes from writing a second answer.
 type Ledger struct {
 	config  Config
-	clearer *twclear.Clearer
+	sweeper *twclear.Sweeper
 	// acquired holds leases whose entries Run starts to process.
 	acquired chan heldLease
 
@@ -80,7 +80,7 @@
 		openByAccount: make(map[string]int),
 		observations:  make(map[string]observation),
 	}
-	l.clearer = twclear.New(twclear.Config{
+	l.sweeper = twclear.New(twclear.Config{
 		Table: config.Table, Writer: config.Writer, Clock: config.Clock, Prefixes: entryPrefixes(), Expired: expired,
 	})
 	return l
--- a/internal/ledger/twledger/work.go
+++ b/internal/ledger/twledger/work.go
@@ -37,7 +37,7 @@
 			ends <- struct{}{}
 		}()
 	}
-	start(func() { _ = l.clearer.Run(ctx) })
+	start(func() { _ = l.sweeper.Run(ctx) })
 	scanning := false
 	scanned := make(chan struct{}, 1)
 	for {
--- a/internal/once/twclaim/claims.go
+++ b/internal/once/twclaim/claims.go
@@ -42,7 +42,7 @@
 // is unknown or its owner is no longer live.
 type Claims struct {
 	config    Config
-	clearer   *twclear.Clearer
+	sweeper   *twclear.Sweeper
 	recording chan *claim
 }
 
@@ -69,11 +69,11 @@
 
 // New returns Claims. Answers are recorded only while Run runs.
 func New(config Config) *Claims {
-	clearer := twclear.New(twclear.Config{
+	sweeper := twclear.New(twclear.Config{
 		Table: config.Table, Writer: config.Writer, Clock: config.Clock,
 		Prefixes: partitionPrefixes(), Expired: expired,
 	})
-	return &Claims{config: config, clearer: clearer, recording: make(chan *claim, recordQueueSize)}
+	return &Claims{config: config, sweeper: sweeper, recording: make(chan *claim, recordQueueSize)}
 }
 
 // Perform sends a call and returns its answer. It calls beforeSend before it sends the first byte, and sends nothing
--- a/internal/once/twclaim/recording.go
+++ b/internal/once/twclaim/recording.go
@@ -54,7 +54,7 @@
 			ends <- struct{}{}
 		}()
 	}
-	err := c.clearer.Run(ctx)
+	err := c.sweeper.Run(ctx)
 	for range recorders {
 		<-ends
 	}
--- a/internal/platform/twclear/clearer.go
+++ b/internal/platform/twclear/clearer.go
@@ -1,4 +1,5 @@
-// Package twclear deletes rows past their lifetime.
+// Package twclear deletes expired rows of the platform's table in the background. The claims and the ledger of each
+// daemon run a Sweeper over their rows.
 package twclear
 
 import (
@@ -11,61 +12,64 @@
 )
 
 const (
-	interval = 10 * time.Second
-	maxRows  = 100
+	sweepInterval = 10 * time.Second
+	pageRows      = 100
 )
 
-// Clearer walks slowly through the rows under its prefixes. All daemons may run one at once: a row that
-// another deleted first is a conflict, which changes nothing.
-type Clearer struct {
-	config Config
-	prefix int
-	after  string
+// Sweeper lists the rows under its prefixes page by page, and deletes those that have expired. All daemons may sweep
+// the same rows at the same time: the deletion of a row that another daemon has deleted is a conflict, which changes
+// nothing.
+type Sweeper struct {
+	config      Config
+	prefixIndex int
+	after       string
 }
 
-// Config names the rows and their lifetime.
+// Config holds the dependencies of a Sweeper and the rows that it sweeps.
 type Config struct {
-	Table    turmericwall.Table
-	Writer   turmericwall.Writer
-	Clock    clockwork.Clock
+	Table  turmericwall.Table
+	Writer turmericwall.Writer
+	Clock  clockwork.Clock
+	// Prefixes are the key prefixes of the rows, in the order in which they are swept.
 	Prefixes []string
-	// Expired tells from a row's value whether it may go.
+	// Expired reports whether the row with the value may be deleted.
 	Expired func(value []byte, now time.Time) bool
 }
 
-// New returns a clearer at the first prefix.
-func New(config Config) *Clearer { return &Clearer{config: config} }
+// New returns a Sweeper that starts at the first prefix.
+func New(config Config) *Sweeper { return &Sweeper{config: config} }
 
-// Run clears until ctx ends.
-func (c *Clearer) Run(ctx context.Context) error {
-	ticker := c.config.Clock.NewTicker(interval)
+// Run sweeps one page every sweepInterval until ctx ends.
+func (s *Sweeper) Run(ctx context.Context) error {
+	ticker := s.config.Clock.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.Chan():
-			c.Step(ctx)
+			s.SweepPage(ctx)
 		}
 	}
 }
 
-// Step looks at the next rows, and goes to the next prefix at the end of one.
-func (c *Clearer) Step(ctx context.Context) {
-	rows, err := c.config.Table.List(ctx, c.config.Prefixes[c.prefix], c.after, maxRows)
+// SweepPage deletes the expired rows of the next page, and moves on to the next prefix after the last page of one. A
+// failure is not reported, because a later sweep lists the rows again.
+func (s *Sweeper) SweepPage(ctx context.Context) {
+	rows, err := s.config.Table.List(ctx, s.config.Prefixes[s.prefixIndex], s.after, pageRows)
 	if err != nil {
 		return
 	}
-	now := c.config.Clock.Now()
+	now := s.config.Clock.Now()
 	for _, row := range rows {
-		if c.config.Expired(row.Value, now) {
-			_ = c.config.Writer.Write(ctx, turmericwall.Write{Key: row.Key, IfVersion: row.Version, Delete: true})
+		if s.config.Expired(row.Value, now) {
+			_ = s.config.Writer.Write(ctx, turmericwall.Write{Key: row.Key, IfVersion: row.Version, Delete: true})
 		}
 	}
-	if len(rows) == maxRows {
-		c.after = rows[len(rows)-1].Key
+	if len(rows) == pageRows {
+		s.after = rows[len(rows)-1].Key
 		return
 	}
-	c.after = ""
-	c.prefix = (c.prefix + 1) % len(c.config.Prefixes)
+	s.after = ""
+	s.prefixIndex = (s.prefixIndex + 1) % len(s.config.Prefixes)
 }
