--- a/internal/once/twclaim/claims.go
+++ b/internal/once/twclaim/claims.go
@@ -38,8 +38,8 @@
 // Two daemons may receive the same key, and a daemon may terminate or be suspended anywhere between claim, send and
 // record. A claim row is written before the call is sent, on the condition that no row exists; only its owner sends.
 // Another daemon never takes a claim over because time has passed: it does so only when the owner itself, or the row,
-// states that the attempt is sealed and can never be sent. Only a repeatable call is also taken over when its outcome
-// is unknown or its owner is no longer live.
+// states that the attempt is sealed and can never be sent. Only a repeatable call is also taken over when the row
+// states that its outcome is unknown, or when its owner can't state the outcome and is no longer live.
 type Claims struct {
 	config    Config
 	sweeper   *twclear.Sweeper
