--- a/internal/delivery/twdelivery/delivery.go
+++ b/internal/delivery/twdelivery/delivery.go
@@ -1,4 +1,5 @@
-// Package twdelivery runs requests through prefill, transfer and decode.
+// Package twdelivery runs completion requests through placement, prefill, transfer and decode. It retries failed
+// attempts within a budget and resumes an answer after the tokens that the caller already has.
 package twdelivery
 
 import (
@@ -14,22 +15,22 @@
 	"github.com/turmericwall/turmericwall/internal/delivery/twretries"
 )
 
-// Delivery implements turmericwall.Deliverer and turmericwall.AttemptHolder.
+// Delivery runs the requests of one daemon. It implements turmericwall.Deliverer and turmericwall.AttemptHolder.
 type Delivery struct {
-	config   Config
-	sequence atomic.Uint64
-	computed metrics.Counter
-	wasted   metrics.Counter
-	retries  metrics.Counter
+	config         Config
+	sequence       atomic.Uint64
+	computedTokens metrics.Counter
+	wastedTokens   metrics.Counter
+	retryCount     metrics.Counter
 
-	mu     sync.Mutex
-	live   map[string]bool
-	budget *twretries.Budget
+	mu             sync.Mutex
+	activeAttempts map[string]bool
+	retryBudget    *twretries.Budget
 }
 
-// Config names what deliveries work with.
+// Config holds the dependencies of a Delivery.
 type Config struct {
-	// Incarnation stands before each attempt's name, so that any daemon can find the attempt's owner.
+	// Incarnation is the first part of each attempt's name, by which any daemon can find the attempt's owner.
 	Incarnation string
 	Placer      turmericwall.Placer
 	Engines     turmericwall.Engines
@@ -39,60 +40,62 @@
 	Registry    metrics.Registry
 }
 
-// New returns a delivery without requests.
+// New returns a delivery without active requests.
 func New(config Config) *Delivery {
 	return &Delivery{
-		config:   config,
-		computed: metrics.GetOrRegisterCounter("prefill.computedTokens", config.Registry),
-		wasted:   metrics.GetOrRegisterCounter("prefill.wastedTokens", config.Registry),
-		retries:  metrics.GetOrRegisterCounter("delivery.retries", config.Registry),
-		live:     make(map[string]bool),
-		budget:   twretries.New(twretries.Config{Ratio: retryRatio, Slack: retrySlack, WindowMillis: retryWindowMillis}),
+		config:         config,
+		computedTokens: metrics.GetOrRegisterCounter("prefill.computedTokens", config.Registry),
+		wastedTokens:   metrics.GetOrRegisterCounter("prefill.wastedTokens", config.Registry),
+		retryCount:     metrics.GetOrRegisterCounter("delivery.retries", config.Registry),
+		activeAttempts: make(map[string]bool),
+		retryBudget:    twretries.New(twretries.Config{Ratio: retryRatio, Slack: retrySlack, WindowMillis: retryWindowMillis}),
 	}
 }
 
-// Deliver runs the request; see turmericwall.Deliverer.
-func (d *Delivery) Deliver(ctx context.Context, request turmericwall.Request, sink turmericwall.Sink) (turmericwall.Usage, error) {
+// Deliver runs the request until its answer is complete; see turmericwall.Deliverer.
+func (d *Delivery) Deliver(
+	ctx context.Context, request turmericwall.Request, sink turmericwall.Sink,
+) (turmericwall.Usage, error) {
 	r := newRun(d, request, sink)
 	return r.deliver(ctx)
 }
 
-// Wanted returns those of the attempts that a request here still waits for.
+// Wanted returns those of the attempts that are still active on this daemon.
 func (d *Delivery) Wanted(attempts []string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var wanted []string
 	for _, a := range attempts {
-		if d.live[a] {
+		if d.activeAttempts[a] {
 			wanted = append(wanted, a)
 		}
 	}
 	return wanted
 }
 
-// Live counts the attempts under way.
+// Live returns the number of active attempts.
 func (d *Delivery) Live() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.live)
+	return len(d.activeAttempts)
 }
 
-func (d *Delivery) begin() string {
+func (d *Delivery) beginAttempt() string {
 	attempt := fmt.Sprintf("%s/%d", d.config.Incarnation, d.sequence.Add(1))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.live[attempt] = true
+	d.activeAttempts[attempt] = true
 	return attempt
 }
 
-func (d *Delivery) end(attempt string) {
+func (d *Delivery) endAttempt(attempt string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.live, attempt)
+	delete(d.activeAttempts, attempt)
 }
 
-// Repeats of one service in a window: a share of its fresh requests, and what lets a quiet service try again through a
-// short fault. One daemon uses 0.8 of it.
+// The retry budget of one service for a window: a share of its new requests, and a constant part that lets a service
+// with few requests retry during a short fault. One daemon uses 0.8 of it.
 const (
 	retryRatio        = 0.25
 	retrySlack        = 60
--- a/internal/delivery/twdelivery/retry.go
+++ b/internal/delivery/twdelivery/retry.go
@@ -8,83 +8,85 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// How long work that may wait pauses between two questions.
+// Bounds of the delay after which a refused deferrable request is placed again.
 const (
-	minPause = 100 * time.Millisecond
-	maxPause = 500 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
-// final returns nil when the request is worth another attempt, and else the error for the caller.
-func (r *run) final(ctx context.Context, err error) error {
+// errorUnlessRetried returns nil when the request may be attempted again, and otherwise the error for the caller.
+func (r *run) errorUnlessRetried(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return cancelled(ctx)
+		return cancelledProblem(ctx)
 	}
 	var refused *turmericwall.Problem
 	if errors.As(err, &refused) {
-		return r.refused(ctx, refused)
+		return r.handleRefusal(ctx, refused)
 	}
 	var engine *turmericwall.EngineError
 	if !errors.As(err, &engine) {
 		return err
 	}
 	if engine.Reason() == turmericwall.EngineRefused {
-		return r.failed("the engine refused the call", "check the model and the token counts", err)
+		return r.upstreamFailedProblem("the engine refused the call", "check the model and the token counts", err)
 	}
-	if r.tries >= maxAttempts {
-		return r.failed("the engines failed several attempts", "come back later", err)
+	if r.attempts >= maxAttempts {
+		return r.upstreamFailedProblem("the engines failed several attempts", "retry later", err)
 	}
-	return r.retry(err)
+	return r.spendRetry(err)
 }
 
-// retry spends a retry. Work that may wait does not need one: its lease goes to another try later.
-func (r *run) retry(err error) error {
-	if !r.d.budget.Spend(r.d.config.Clock.Now(), r.request.Service, 1) {
-		return r.failed("the service's retry budget is used up", "come back later", err)
+// spendRetry takes a retry from the service's budget. A deferrable request that gets none fails here; it runs again
+// when its lease is taken later.
+func (r *run) spendRetry(err error) error {
+	if !r.delivery.retryBudget.Spend(r.delivery.config.Clock.Now(), r.request.Service, 1) {
+		return r.upstreamFailedProblem("the service's retry budget is used up", "retry later", err)
 	}
-	r.d.retries.Inc(1)
-	if r.tries == 1 {
-		r.resumeDeadline = r.d.config.Clock.Now().Add(resumeWait)
+	r.delivery.retryCount.Inc(1)
+	if r.attempts == 1 {
+		r.resumeDeadline = r.delivery.config.Clock.Now().Add(maxResumeWait)
 	}
 	return nil
 }
 
-// refused passes a leader's refusal on, but for work that may wait: that asks again. It pauses first: a
-// leader whose queue is full refuses at once, and asking without a pause would keep it busy with refusing.
-func (r *run) refused(ctx context.Context, refused *turmericwall.Problem) error {
+// handleRefusal returns the leader's refusal to the caller. A deferrable request is placed again instead, after a
+// delay: a leader whose queue is full refuses at once, and requests without a delay would keep it busy with refusals.
+func (r *run) handleRefusal(ctx context.Context, refused *turmericwall.Problem) error {
 	if refused.Kind() == turmericwall.KindOverloaded && !r.request.Work.Urgent {
-		return r.pause(ctx, refused.RetryAt())
+		return r.waitToRetry(ctx, refused.RetryAt())
 	}
 	return refused.WithOutcome(r.outcome())
 }
 
-func (r *run) pause(ctx context.Context, until time.Time) error {
-	clock := r.d.config.Clock
-	timer := clock.NewTimer(min(maxPause, max(minPause, until.Sub(clock.Now()))))
+func (r *run) waitToRetry(ctx context.Context, until time.Time) error {
+	clock := r.delivery.config.Clock
+	timer := clock.NewTimer(min(maxRetryDelay, max(minRetryDelay, until.Sub(clock.Now()))))
 	defer timer.Stop()
 	select {
 	case <-timer.Chan():
 		return nil
 	case <-ctx.Done():
-		return cancelled(ctx)
+		return cancelledProblem(ctx)
 	}
 }
 
-func (r *run) failed(detail, remedy string, cause error) error {
+func (r *run) upstreamFailedProblem(detail, remedy string, cause error) error {
 	return turmericwall.NewProblem(turmericwall.KindUpstreamFailed, detail, remedy).
 		WithOutcome(r.outcome()).
-		WithRetryAt(r.d.config.Clock.Now().Add(placeWait)).
+		WithRetryAt(r.delivery.config.Clock.Now().Add(maxPlaceWait)).
 		WithCause(cause)
 }
 
-// outcome is notRun only while no engine was asked for anything.
+// outcome is notRun only while no attempt was placed.
 func (r *run) outcome() turmericwall.Outcome {
-	if r.tries == 0 {
+	if r.attempts == 0 {
 		return turmericwall.OutcomeNotRun
 	}
 	return turmericwall.OutcomeUnknown
 }
 
-func cancelled(ctx context.Context) error {
-	return turmericwall.NewProblem(turmericwall.KindCancelled, "the request was cancelled", "send it again if it is still wanted").
+func cancelledProblem(ctx context.Context) error {
+	return turmericwall.NewProblem(turmericwall.KindCancelled, "the request was cancelled",
+		"send it again if it is still wanted").
 		WithOutcome(turmericwall.OutcomeUnknown).WithCause(context.Cause(ctx))
 }
--- a/internal/delivery/twdelivery/run.go
+++ b/internal/delivery/twdelivery/run.go
@@ -11,79 +11,84 @@
 )
 
 const (
-	// maxAttempts bounds what one request may cost.
+	// maxAttempts bounds the engine time that one request may use.
 	maxAttempts = 6
-	// exportLife is how long a finished prefill may be used for a second decode engine; engines evict
-	// an export within a second.
-	exportLife = 500 * time.Millisecond
-	// placeWait is how long a request that may wait, or one that continues, waits for one decision.
-	placeWait  = 2 * time.Second
-	resumeWait = 10 * time.Second
+	// exportLifetime is how long a finished prefill may be imported by a second decode engine; engines evict an export
+	// within a second.
+	exportLifetime = 500 * time.Millisecond
+	// maxPlaceWait is how long a deferrable request waits for one placement. It is also the retry time after a failure.
+	maxPlaceWait = 2 * time.Second
+	// maxResumeWait is how long an urgent request that already had an attempt may take to be placed again.
+	maxResumeWait = 10 * time.Second
 
 	priorityUrgent     = 0
 	priorityDeferrable = 10
 )
 
-// run is the life of one request.
+// run is the state of one request.
 type run struct {
-	d        *Delivery
-	request  turmericwall.Request
-	sink     turmericwall.Sink
-	assembly *twassembly.Assembly
-	tries    int
-	avoid    []string
-	// resumeDeadline ends the search for a place for a request that has begun.
+	delivery       *Delivery
+	request        turmericwall.Request
+	sink           turmericwall.Sink
+	assembly       *twassembly.Assembly
+	attempts       int
+	avoidedEngines []string
+	// resumeDeadline ends the placement of an urgent request that already had an attempt.
 	resumeDeadline time.Time
 	export         turmericwall.Export
-	exportFrom     turmericwall.VM
+	exportEngine   turmericwall.VM
 	exportDeadline time.Time
-	computed       int
-	useful         int
+	computedTokens int
+	// usefulTokens counts the computed prompt tokens whose prefill led to answer tokens.
+	usefulTokens int
 }
 
 func newRun(d *Delivery, request turmericwall.Request, sink turmericwall.Sink) *run {
-	return &run{d: d, request: request, sink: sink, assembly: twassembly.New()}
+	return &run{delivery: d, request: request, sink: sink, assembly: twassembly.New()}
 }
 
-// deliver makes attempts until the answer is whole.
+// deliver makes attempts until the answer is complete.
 func (r *run) deliver(ctx context.Context) (turmericwall.Usage, error) {
-	defer r.account()
-	r.d.budget.Earn(r.d.config.Clock.Now(), r.request.Service)
+	defer r.countPrefillTokens()
+	r.delivery.retryBudget.Earn(r.delivery.config.Clock.Now(), r.request.Service)
 	for {
-		err := r.attempt(ctx)
+		err := r.runAttempt(ctx)
 		if err == nil {
 			return r.usage(), nil
 		}
-		if err = r.final(ctx, err); err != nil {
+		if err = r.errorUnlessRetried(ctx, err); err != nil {
 			return r.usage(), err
 		}
 	}
 }
 
-// attempt places and runs the request once.
-func (r *run) attempt(ctx context.Context) error {
-	name := r.d.begin()
-	defer r.d.end(name)
+// runAttempt places the request and runs it once on the granted engines.
+func (r *run) runAttempt(ctx context.Context) error {
+	name := r.delivery.beginAttempt()
+	defer r.delivery.endAttempt(name)
 	grant, err := r.place(ctx, name)
 	if err != nil {
 		return err
 	}
-	r.tries++
-	failed, err := r.execute(ctx, name, grant)
-	if transferFailed(err) {
-		// Either end may be at fault: the next attempt keeps off both.
+	r.attempts++
+	failed, err := r.runGrant(ctx, name, grant)
+	if isTransferFailure(err) {
+		// Either engine may be at fault, so the next attempt avoids both.
 		r.avoidEngine(grant.Prefill)
 	}
-	r.d.config.Placer.Finish(turmericwall.Ending{Service: r.request.Service, Attempt: name, FailedEngine: blamed(failed, err)})
+	r.delivery.config.Placer.Finish(turmericwall.Ending{
+		Service: r.request.Service, Attempt: name,
+		FailedEngine: engineAtFault(failed, err),
+	})
 	if err != nil {
-		r.noteFailure(name, failed, err)
+		r.recordFailure(name, failed, err)
 	}
 	return err
 }
 
 func (r *run) place(ctx context.Context, name string) (turmericwall.Grant, error) {
-	grant, err := r.d.config.Placer.Place(ctx, r.arrival(name))
-	log := r.d.config.Recorder
+	grant, err := r.delivery.config.Placer.Place(ctx, r.arrival(name))
+	log := r.delivery.config.Recorder
 	if err != nil {
 		log.Record(turmericwall.EventPlacementRefused).Str("request", r.request.ID).Str("attempt", name).Err(err).Send()
 		return grant, err
@@ -95,40 +100,41 @@
 }
 
 func (r *run) arrival(name string) turmericwall.Arrival {
-	now := r.d.config.Clock.Now()
+	now := r.delivery.config.Clock.Now()
 	a := turmericwall.Arrival{
 		Attempt: name, Service: r.request.Service, Model: r.request.Model, Account: r.request.Account,
 		Work: r.request.Work.Name, Urgent: r.request.Work.Urgent, Worth: r.request.Work.Worth,
 		TokenGapMillis: float64(r.request.Work.TokenGapMillis),
-		PromptTokens:   twblocks.Tokens(r.prompt()),
-		MaxTokens:      r.remaining(),
+		PromptTokens:   twblocks.Tokens(r.promptWithAnswer()),
+		MaxTokens:      r.remainingTokens(),
 		Blocks:         twblocks.Hashes(r.request.Prompt),
-		Avoid:          r.avoid,
+		Avoid:          r.avoidedEngines,
 	}
 	if now.Before(r.exportDeadline) {
-		a.Prefilled = r.exportFrom.Name
+		a.Prefilled = r.exportEngine.Name
 	}
 	switch {
-	case r.tries > 0 && r.request.Work.Urgent:
+	case r.attempts > 0 && r.request.Work.Urgent:
 		a.Resumed = true
 		a.GiveUpDeadline = r.resumeDeadline
 	case r.request.Work.Urgent:
 		a.FirstTokenDeadline = r.request.FirstTokenDeadline
 	default:
-		a.Resumed = r.tries > 0
-		a.GiveUpDeadline = now.Add(placeWait)
+		a.Resumed = r.attempts > 0
+		a.GiveUpDeadline = now.Add(maxPlaceWait)
 	}
 	return a
 }
 
-func (r *run) prompt() string { return r.request.Prompt + r.assembly.Text() }
+func (r *run) promptWithAnswer() string { return r.request.Prompt + r.assembly.Text() }
 
-func (r *run) remaining() int { return r.request.MaxTokens - r.assembly.Delivered() }
+func (r *run) remainingTokens() int { return r.request.MaxTokens - r.assembly.Delivered() }
 
-// execute runs the granted pair; it names the engine that failed.
-func (r *run) execute(ctx context.Context, name string, grant turmericwall.Grant) (turmericwall.VM, error) {
+// runGrant runs the request on the granted pair. On an error it returns the engine whose call failed.
+func (r *run) runGrant(ctx context.Context, name string, grant turmericwall.Grant) (turmericwall.VM, error) {
 	call := turmericwall.EngineCall{
-		Attempt: name, Model: r.request.Model, Prompt: r.prompt(), MaxTokens: r.remaining(), Priority: r.priority(),
+		Attempt: name, Model: r.request.Model, Prompt: r.promptWithAnswer(), MaxTokens: r.remainingTokens(),
+		Priority: r.priority(),
 	}
 	if err := r.prefill(ctx, call, grant); err != nil {
 		return grant.Prefill, err
@@ -146,54 +152,55 @@
 	return priorityDeferrable
 }
 
-// prefill computes the prompt, unless an earlier attempt's export still lives.
+// prefill computes the prompt, unless the export of an earlier attempt is still available.
 func (r *run) prefill(ctx context.Context, call turmericwall.EngineCall, grant turmericwall.Grant) error {
-	if r.exportFrom.Name == grant.Prefill.Name && r.d.config.Clock.Now().Before(r.exportDeadline) {
+	if r.exportEngine.Name == grant.Prefill.Name && r.delivery.config.Clock.Now().Before(r.exportDeadline) {
 		return nil
 	}
-	export, err := r.d.config.Engines.Engine(grant.Prefill.Address).Prefill(ctx, call)
+	export, err := r.delivery.config.Engines.Engine(grant.Prefill.Address).Prefill(ctx, call)
 	if err != nil {
-		r.d.config.Canceller.Cancel(grant.Prefill, call.Attempt)
+		r.delivery.config.Canceller.Cancel(grant.Prefill, call.Attempt)
 		return err
 	}
-	r.computed += export.ComputedTokens
-	r.export, r.exportFrom = export, grant.Prefill
-	r.exportDeadline = r.d.config.Clock.Now().Add(exportLife)
+	r.computedTokens += export.ComputedTokens
+	r.export, r.exportEngine = export, grant.Prefill
+	r.exportDeadline = r.delivery.config.Clock.Now().Add(exportLifetime)
 	return nil
 }
 
-// decode streams the answer; an attempt that does not end cleanly is cancelled on both engines.
+// decode streams the answer. An attempt that does not end cleanly is cancelled on the decode engine, and on the prefill
+// engine when its export can't be used again.
 func (r *run) decode(ctx context.Context, call turmericwall.EngineCall, grant turmericwall.Grant) error {
 	r.assembly.Begin(call.Attempt)
 	before := r.assembly.Delivered()
-	err := r.d.config.Engines.Engine(grant.Decode.Address).Decode(ctx, call, r.export, r.take)
+	err := r.delivery.config.Engines.Engine(grant.Decode.Address).Decode(ctx, call, r.export, r.deliverChunk)
 	if r.assembly.Delivered() > before {
-		r.useful = max(r.useful, r.export.ComputedTokens)
+		r.usefulTokens = max(r.usefulTokens, r.export.ComputedTokens)
 		r.exportDeadline = time.Time{}
 	}
 	if r.assembly.Whole() {
 		return nil
 	}
-	r.d.config.Canceller.Cancel(grant.Decode, call.Attempt)
+	r.delivery.config.Canceller.Cancel(grant.Decode, call.Attempt)
 	if err == nil {
 		return turmericwall.NewEngineError(grant.Decode.Name, turmericwall.EngineUnreachable, errIncomplete)
 	}
-	if !r.exportUsable(err) {
+	if !r.isExportUsable(err) {
 		r.exportDeadline = time.Time{}
-		r.d.config.Canceller.Cancel(r.exportFrom, call.Attempt)
+		r.delivery.config.Canceller.Cancel(r.exportEngine, call.Attempt)
 	}
 	return err
 }
 
 var errIncomplete = errors.New("the stream ended without a finish reason")
 
-func (r *run) exportUsable(err error) bool {
+func (r *run) isExportUsable(err error) bool {
 	var failed *turmericwall.EngineError
 	return errors.As(err, &failed) && failed.Reason() != turmericwall.EngineExportGone &&
-		r.d.config.Clock.Now().Before(r.exportDeadline)
+		r.delivery.config.Clock.Now().Before(r.exportDeadline)
 }
 
-func (r *run) take(c turmericwall.Chunk) error {
+func (r *run) deliverChunk(c turmericwall.Chunk) error {
 	for _, text := range r.assembly.Take(c) {
 		if err := r.sink.Token(text); err != nil {
 			return err
@@ -202,8 +209,9 @@
 	return nil
 }
 
-// blamed names the engine to keep work away from; a full or evicted one did nothing wrong.
-func blamed(failed turmericwall.VM, err error) string {
+// engineAtFault returns the name of the engine if the placer should avoid it: an engine that is full or has evicted the
+// export has not failed.
+func engineAtFault(failed turmericwall.VM, err error) string {
 	var engine *turmericwall.EngineError
 	if errors.As(err, &engine) && engine.Reason() == turmericwall.EngineUnreachable {
 		return failed.Name
@@ -211,27 +219,27 @@
 	return ""
 }
 
-func (r *run) noteFailure(name string, failed turmericwall.VM, err error) {
-	r.d.config.Recorder.Record(turmericwall.EventAttemptFailed).Str("request", r.request.ID).Str("attempt", name).
+func (r *run) recordFailure(name string, failed turmericwall.VM, err error) {
+	r.delivery.config.Recorder.Record(turmericwall.EventAttemptFailed).Str("request", r.request.ID).Str("attempt", name).
 		Str("engine", failed.Name).Int("delivered", int64(r.assembly.Delivered())).Err(err).Send()
 	r.avoidEngine(failed)
 }
 
 func (r *run) avoidEngine(vm turmericwall.VM) {
-	if vm.Name != "" && len(r.avoid) < 2*maxAttempts {
-		r.avoid = append(r.avoid, vm.Name)
+	if vm.Name != "" && len(r.avoidedEngines) < 2*maxAttempts {
+		r.avoidedEngines = append(r.avoidedEngines, vm.Name)
 	}
 }
 
-func transferFailed(err error) bool {
+func isTransferFailure(err error) bool {
 	var engine *turmericwall.EngineError
 	return errors.As(err, &engine) && engine.Reason() == turmericwall.EngineTransferFailed
 }
 
-// account counts the prefill that brought no token as wasted.
-func (r *run) account() {
-	r.d.computed.Inc(int64(r.computed))
-	r.d.wasted.Inc(int64(max(0, r.computed-r.useful)))
+// countPrefillTokens counts the computed prompt tokens, and as wasted those whose prefill led to no answer token.
+func (r *run) countPrefillTokens() {
+	r.delivery.computedTokens.Inc(int64(r.computedTokens))
+	r.delivery.wastedTokens.Inc(int64(max(0, r.computedTokens-r.usefulTokens)))
 }
 
 func (r *run) usage() turmericwall.Usage {
