--- a/internal/delivery/twengine/engine_test.go
+++ b/internal/delivery/twengine/engine_test.go
@@ -15,8 +15,8 @@
 	"github.com/turmericwall/turmericwall/internal/delivery/twengine"
 )
 
-// serve answers every call with the same bytes.
-func serve(t testing.TB, status int, body string) turmericwall.Engine {
+// newTestEngine returns the client of an engine that answers every call with the status and body.
+func newTestEngine(t testing.TB, status int, body string) turmericwall.Engine {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(status)
@@ -34,7 +34,7 @@
 	return failed.Reason()
 }
 
-func TestStatusesBecomeReasons(t *testing.T) {
+func TestErrorStatusesMapToEngineReasons(t *testing.T) {
 	for status, reason := range map[int]turmericwall.EngineReason{
 		http.StatusServiceUnavailable:  turmericwall.EngineFull,
 		http.StatusGone:                turmericwall.EngineExportGone,
@@ -43,16 +43,17 @@
 		http.StatusBadRequest:          turmericwall.EngineRefused,
 	} {
 		g := NewWithT(t)
-		err := serve(t, status, "").Decode(t.Context(), turmericwall.EngineCall{}, turmericwall.Export{}, nil)
+		err := newTestEngine(t, status, "").Decode(t.Context(), turmericwall.EngineCall{}, turmericwall.Export{}, nil)
 		g.Expect(reasonOf(err)).To(Equal(reason))
 	}
 }
 
-// The stream ends without its closing mark: the engine died, and the answer is not whole.
-func TestTruncatedStreamIsAFailure(t *testing.T) {
+// A stream without its closing marker is truncated because the engine has terminated; it must not pass as complete.
+func TestATruncatedStreamFailsAsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	chunks := 0
-	engine := serve(t, http.StatusOK, `data: {"id":"cmpl-a","choices":[{"text":"x"}],"usage":{"completion_tokens":1}}`+"\n\n")
+	engine := newTestEngine(t, http.StatusOK,
+		`data: {"id":"cmpl-a","choices":[{"text":"x"}],"usage":{"completion_tokens":1}}`+"\n\n")
 	err := engine.Decode(t.Context(), turmericwall.EngineCall{}, turmericwall.Export{}, func(c turmericwall.Chunk) error {
 		chunks++
 		g.Expect(c).To(Equal(turmericwall.Chunk{Attempt: "a", Index: 1, Text: "x"}))
@@ -66,10 +67,11 @@
 	f.Add("data: {\"id\":\"cmpl-a\",\"choices\":[{\"text\":\"x\"}],\"usage\":{\"completion_tokens\":1}}\n\ndata: [DONE]\n\n")
 	f.Add("data: [1]\n\ndata: {}\n\n: comment\n\ndata: {\"choices\":[{}]}\n\n")
 	f.Fuzz(func(t *testing.T, stream string) {
-		whole := strings.Contains("\n"+stream, "\ndata: [DONE]")
-		err := serve(t, http.StatusOK, stream).Decode(t.Context(), turmericwall.EngineCall{}, turmericwall.Export{}, func(turmericwall.Chunk) error { return nil })
-		if err == nil && !whole {
-			t.Fatalf("a stream without its closing mark was taken for whole: %q", stream)
+		complete := strings.Contains("\n"+stream, "\ndata: [DONE]")
+		err := newTestEngine(t, http.StatusOK, stream).Decode(t.Context(), turmericwall.EngineCall{}, turmericwall.Export{},
+			func(turmericwall.Chunk) error { return nil })
+		if err == nil && !complete {
+			t.Fatalf("a stream without its closing marker was taken as complete: %q", stream)
 		}
 	})
 }
--- a/internal/delivery/twengine/stream.go
+++ b/internal/delivery/twengine/stream.go
@@ -13,34 +13,33 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Times within which an engine must show progress.
+// Time-outs for the progress of an engine's stream.
 //
-// An open connection can go silent for good while new ones work. Its symptom is a stream without
-// chunks: the call is then given up, which closes the connection, and the next one is new.
+// An open connection can become permanently unresponsive while new ones work. The symptom is a stream without chunks:
+// the call is cancelled, which closes the connection, and the next call opens a new one.
 const (
 	firstChunkTimeout = 10 * time.Second
 	nextChunkTimeout  = 2 * time.Second
 	maxLineBytes      = 1 << 20
 )
 
-// errTruncated is a stream that ended without its closing mark.
-var errTruncated = errors.New("the stream ended before its closing mark")
+var errTruncated = errors.New("the stream ended before its closing marker")
 
-// sinkError is a failure of the reader of the chunks, not of the engine.
+// sinkError is an error of the chunks' sink, not of the engine.
 type sinkError struct{ cause error }
 
 func (e *sinkError) Error() string { return "deliver a chunk: " + e.cause.Error() }
 func (e *sinkError) Unwrap() error { return e.cause }
 
-// watch cancels a call that shows no progress.
-type watch struct{ timer *time.Timer }
+// progressWatchdog cancels a call whose stream makes no progress.
+type progressWatchdog struct{ timer *time.Timer }
 
-func newWatch(cancel func()) *watch {
-	return &watch{timer: time.AfterFunc(firstChunkTimeout, cancel)}
+func newProgressWatchdog(cancel func()) *progressWatchdog {
+	return &progressWatchdog{timer: time.AfterFunc(firstChunkTimeout, cancel)}
 }
 
-func (w *watch) progress() { w.timer.Reset(nextChunkTimeout) }
-func (w *watch) stop()     { w.timer.Stop() }
+func (w *progressWatchdog) reset() { w.timer.Reset(nextChunkTimeout) }
+func (w *progressWatchdog) stop()  { w.timer.Stop() }
 
 type chunkMessage struct {
 	ID      string        `json:"id"`
@@ -64,25 +63,25 @@
 
 const (
 	dataPrefix = "data: "
-	doneMark   = "[DONE]"
-	// idPrefix stands before the attempt in the engines' completion ids.
+	doneMarker = "[DONE]"
+	// idPrefix precedes the attempt in the engines' completion ids.
 	idPrefix = "cmpl-"
 )
 
-// readChunks hands each chunk on until the closing mark.
-func readChunks(stream io.Reader, watch *watch, sink func(turmericwall.Chunk) error) error {
+// readChunks passes each chunk to sink until the closing marker.
+func readChunks(stream io.Reader, watchdog *progressWatchdog, sink func(turmericwall.Chunk) error) error {
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	for scanner.Scan() {
-		watch.progress()
+		watchdog.reset()
 		data, ok := bytes.CutPrefix(scanner.Bytes(), []byte(dataPrefix))
 		if !ok {
 			continue
 		}
-		if string(data) == doneMark {
+		if string(data) == doneMarker {
 			return nil
 		}
-		if err := handChunk(data, sink); err != nil {
+		if err := deliverChunk(data, sink); err != nil {
 			return err
 		}
 	}
@@ -92,13 +91,13 @@
 	return errTruncated
 }
 
-func handChunk(data []byte, sink func(turmericwall.Chunk) error) error {
+func deliverChunk(data []byte, sink func(turmericwall.Chunk) error) error {
 	var message chunkMessage
 	if err := json.Unmarshal(data, &message); err != nil {
 		return fmt.Errorf("decode a chunk: %w", err)
 	}
 	if message.Error != nil {
-		return fmt.Errorf("the engine broke off: %s", message.Error.Message)
+		return fmt.Errorf("the engine aborted the stream: %s", message.Error.Message)
 	}
 	for _, c := range message.Choices {
 		err := sink(turmericwall.Chunk{
