--- a/internal/delivery/twpicker/picker.go
+++ b/internal/delivery/twpicker/picker.go
@@ -1,4 +1,5 @@
-// Package twpicker chooses the upstream of a plain service for one call.
+// Package twpicker picks the upstream of a plain service for each send of a call. It prefers the lowest expected answer
+// time and ejects upstreams that fail repeatedly.
 package twpicker
 
 import (
@@ -10,51 +11,54 @@
 )
 
 const (
-	// remoteMillis is what an upstream in another zone costs more, in milliseconds: about a round trip.
-	remoteMillis = 9
-	// firstMillis is the answer time assumed before the first answer.
-	firstMillis = 15
-	// weightOfNewest is how much one answer changes an average; about ten answers are remembered.
-	weightOfNewest = 0.15
-	// forgetSpan is after how long without an answer an average counts for nothing, so that an upstream that
-	// was slow once is tried again.
-	forgetSpan = 3 * time.Second
-	// restMillis is how long an upstream is left alone after failedInRow failures; it doubles up to maxRestMillis.
-	restMillis    = 700
-	maxRestMillis = 4000
-	failedInRow   = 2
-	// minGood keeps the score of a failing upstream finite.
-	minGood = 0.05
+	// otherZonePenaltyMillis is added to the score of an upstream in another zone: about one round trip.
+	otherZonePenaltyMillis = 9
+	// initialAnswerMillis is the answer time assumed before the first answer.
+	initialAnswerMillis = 15
+	// newestWeight is the weight of the newest answer in the moving averages, which then cover about ten answers.
+	newestWeight = 0.15
+	// maxAverageAge is how long an average is used without a new answer, so that an upstream that was slow once is tried
+	// again.
+	maxAverageAge = 3 * time.Second
+	// minEjectionMillis is the first ejection after failuresBeforeEjection failures; each further one doubles, up to
+	// maxEjectionMillis.
+	minEjectionMillis      = 700
+	maxEjectionMillis      = 4000
+	failuresBeforeEjection = 2
+	// minSuccessRate keeps the score of a failing upstream finite.
+	minSuccessRate = 0.05
 )
 
-// Picker knows how the upstreams did lately. It has no clock of its own.
+// Picker tracks the results of recent calls to each upstream. Its callers pass the time.
 //
-// Upstreams that fail or stall while their health check is good are only seen from the calls themselves. Each
-// answer and failure is remembered for a short time; the failing ones are left alone and tried again by one call.
+// Upstreams that fail or hang while their health check passes can only be detected by the calls themselves. A failing
+// upstream is ejected for a short time and then probed by a single call.
 type Picker struct {
-	mu      sync.Mutex
-	records map[turmericwall.UpstreamKey]*record
-	zone    string
+	mu    sync.Mutex
+	stats map[turmericwall.UpstreamKey]*upstreamStats
+	zone  string
 }
 
-type record struct {
-	open       int
-	millis     float64
-	failed     float64
-	inRow      int
-	rests      int
-	restUntil  time.Time
-	answeredAt time.Time
+type upstreamStats struct {
+	openCalls           int
+	answerMillis        float64
+	failureRate         float64
+	consecutiveFailures int
+	ejections           int
+	ejectedUntil        time.Time
+	updatedAt           time.Time
 }
 
 // New returns a picker for a daemon in the zone.
 func New(zone string) *Picker {
-	return &Picker{records: make(map[turmericwall.UpstreamKey]*record), zone: zone}
+	return &Picker{stats: make(map[turmericwall.UpstreamKey]*upstreamStats), zone: zone}
 }
 
-// Pick takes the upstream where the answer is expected first; the call must be ended by Answered or Failed.
-// It returns ok=false when every upstream is leaving or in avoid.
-func (p *Picker) Pick(now time.Time, upstreams []turmericwall.Upstream, avoid map[string]bool) (turmericwall.Upstream, bool) {
+// Pick returns the upstream with the lowest expected answer time. Each pick must be ended by RecordAnswer,
+// RecordFailure or ReleasePick. It returns ok=false when every upstream is leaving or in avoid.
+func (p *Picker) Pick(
+	now time.Time, upstreams []turmericwall.Upstream, avoid map[string]bool,
+) (turmericwall.Upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	best := -1
@@ -70,97 +74,98 @@
 	if best < 0 {
 		return turmericwall.Upstream{}, false
 	}
-	p.record(upstreams[best]).open++
+	p.statsOf(upstreams[best]).openCalls++
 	return upstreams[best], true
 }
 
-// Answered tells that the upstream answered; good is false for an answer that says that the call failed there.
-func (p *Picker) Answered(now time.Time, u turmericwall.Upstream, span time.Duration, good bool) {
+// RecordAnswer ends a pick whose upstream answered; good is false for an answer that reports a failure of the upstream.
+func (p *Picker) RecordAnswer(now time.Time, u turmericwall.Upstream, span time.Duration, good bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.record(u)
-	r.open--
-	if r.rests > 0 && good {
-		// The averages are those of the time before the rest, and would keep a mended upstream idle.
-		r.millis, r.failed = float64(span.Milliseconds()), 0
+	r := p.statsOf(u)
+	r.openCalls--
+	if r.ejections > 0 && good {
+		// The averages are from before the ejection and would keep a recovered upstream idle.
+		r.answerMillis, r.failureRate = float64(span.Milliseconds()), 0
 	}
-	r.inRow = 0
-	r.rests = 0
-	r.restUntil = time.Time{}
-	r.learn(now, float64(span.Milliseconds()), good)
+	r.consecutiveFailures = 0
+	r.ejections = 0
+	r.ejectedUntil = time.Time{}
+	r.update(now, float64(span.Milliseconds()), good)
 }
 
-// Failed tells that the upstream gave no answer that can be used.
-func (p *Picker) Failed(now time.Time, u turmericwall.Upstream, span time.Duration) {
+// RecordFailure ends a pick whose upstream gave no usable answer.
+func (p *Picker) RecordFailure(now time.Time, u turmericwall.Upstream, span time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.record(u)
-	r.open--
-	r.inRow++
-	r.learn(now, float64(span.Milliseconds()), false)
-	if r.inRow < failedInRow && r.rests == 0 {
+	r := p.statsOf(u)
+	r.openCalls--
+	r.consecutiveFailures++
+	r.update(now, float64(span.Milliseconds()), false)
+	if r.consecutiveFailures < failuresBeforeEjection && r.ejections == 0 {
 		return
 	}
-	rest := min(restMillis<<r.rests, maxRestMillis)
-	r.rests = min(r.rests+1, 3)
-	r.restUntil = now.Add(time.Duration(rest) * time.Millisecond)
+	ejectionMillis := min(minEjectionMillis<<r.ejections, maxEjectionMillis)
+	r.ejections = min(r.ejections+1, 3)
+	r.ejectedUntil = now.Add(time.Duration(ejectionMillis) * time.Millisecond)
 }
 
-// Withdrawn ends a call that says nothing of the upstream, because the caller left.
-func (p *Picker) Withdrawn(u turmericwall.Upstream) {
+// ReleasePick ends a pick that says nothing about the upstream: the call was not sent, or its caller left.
+func (p *Picker) ReleasePick(u turmericwall.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.record(u).open--
+	p.statsOf(u).openCalls--
 }
 
-// Forget drops the records of incarnations that are no longer known.
+// Forget discards the statistics of incarnations that are no longer known and have no open calls.
 func (p *Picker) Forget(known func(turmericwall.UpstreamKey) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, r := range p.records {
-		if r.open <= 0 && !known(key) {
-			delete(p.records, key)
+	for key, r := range p.stats {
+		if r.openCalls <= 0 && !known(key) {
+			delete(p.stats, key)
 		}
 	}
 }
 
-// score is the expected answer time in milliseconds; a resting upstream goes after all others.
+// score returns the expected answer time in milliseconds. Ejected upstreams score higher than all others, and so do
+// upstreams whose ejection has expired while the probing call is open.
 func (p *Picker) score(now time.Time, u turmericwall.Upstream) float64 {
-	r := p.record(u)
-	millis := float64(firstMillis)
-	failed := 0.0
-	if now.Sub(r.answeredAt) < forgetSpan {
-		millis, failed = max(r.millis, 1), r.failed
+	r := p.statsOf(u)
+	answerMillis := float64(initialAnswerMillis)
+	failureRate := 0.0
+	if now.Sub(r.updatedAt) < maxAverageAge {
+		answerMillis, failureRate = max(r.answerMillis, 1), r.failureRate
 	}
-	score := millis * (1 + float64(r.open)/float64(max(u.Slots, 1)))
+	score := answerMillis * (1 + float64(r.openCalls)/float64(max(u.Slots, 1)))
 	if u.Zone != p.zone {
-		score += remoteMillis
+		score += otherZonePenaltyMillis
 	}
-	good := max(1-failed, minGood)
-	score /= good * good
-	if now.Before(r.restUntil) {
+	successRate := max(1-failureRate, minSuccessRate)
+	score /= successRate * successRate
+	if now.Before(r.ejectedUntil) {
 		score += 1e6
-	} else if r.rests > 0 && r.open > 0 {
+	} else if r.ejections > 0 && r.openCalls > 0 {
 		score += 1e5
 	}
 	return score
 }
 
-func (p *Picker) record(u turmericwall.Upstream) *record {
-	r, ok := p.records[u.Key()]
+func (p *Picker) statsOf(u turmericwall.Upstream) *upstreamStats {
+	r, ok := p.stats[u.Key()]
 	if !ok {
-		r = &record{millis: firstMillis}
-		p.records[u.Key()] = r
+		r = &upstreamStats{answerMillis: initialAnswerMillis}
+		p.stats[u.Key()] = r
 	}
 	return r
 }
 
-func (r *record) learn(now time.Time, millis float64, good bool) {
-	bad := 1.0
+func (r *upstreamStats) update(now time.Time, millis float64, good bool) {
+	failure := 1.0
 	if good {
-		bad = 0
+		failure = 0
 	}
-	r.millis += weightOfNewest * (millis - r.millis)
-	r.failed += weightOfNewest * (bad - r.failed)
-	r.answeredAt = now
+	r.answerMillis += newestWeight * (millis - r.answerMillis)
+	r.failureRate += newestWeight * (failure - r.failureRate)
+	r.updatedAt = now
 }
--- a/internal/delivery/twpicker/picker_test.go
+++ b/internal/delivery/twpicker/picker_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func three() []turmericwall.Upstream {
+func threeUpstreams() []turmericwall.Upstream {
 	return []turmericwall.Upstream{
 		{ID: "near", Zone: "here", Slots: 6}, {ID: "far1", Zone: "there", Slots: 6}, {ID: "far2", Zone: "there", Slots: 6},
 	}
@@ -23,14 +23,14 @@
 	for _, id := range avoid {
 		skip[id] = true
 	}
-	u, ok := p.Pick(at, three(), skip)
+	u, ok := p.Pick(at, threeUpstreams(), skip)
 	if !ok {
 		return ""
 	}
 	return u.ID
 }
 
-func TestTheSameZoneGoesFirstUntilItIsBusy(t *testing.T) {
+func TestTheSameZoneIsPreferredUntilItIsBusy(t *testing.T) {
 	g := NewWithT(t)
 	p := twpicker.New("here")
 	counts := make(map[string]int)
@@ -50,38 +50,38 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// An upstream goes silent while its health check is good. Each call sent there is lost until its deadline. After two
-// failures it is left alone, and a single call tries it again later.
-func TestASilentUpstreamIsLeftAloneAndTriedAgainByOneCall(t *testing.T) {
+// An upstream becomes unresponsive while its health check passes, and each call sent there is lost until its deadline.
+// It must be ejected after two failures and probed by a single call later.
+func TestAFailingUpstreamIsEjectedAndProbedByOneCall(t *testing.T) {
 	g := NewWithT(t)
 	p := twpicker.New("here")
-	near := three()[0]
+	near := threeUpstreams()[0]
 	for range 2 {
 		g.Expect(pick(p, start, "far1", "far2")).To(Equal("near"))
-		p.Failed(start, near, 500*time.Millisecond)
+		p.RecordFailure(start, near, 500*time.Millisecond)
 	}
 	for range 10 {
 		g.Expect(pick(p, start)).NotTo(Equal("near"))
 	}
 	later := start.Add(4 * time.Second)
-	g.Expect(pick(p, later)).To(Equal("near"), "one call tries it")
+	g.Expect(pick(p, later)).To(Equal("near"), "one call probes it")
 	for range 5 {
-		g.Expect(pick(p, later)).NotTo(Equal("near"), "and only one")
+		g.Expect(pick(p, later)).NotTo(Equal("near"), "no second call probes it")
 	}
-	p.Answered(later, near, 15*time.Millisecond, true)
+	p.RecordAnswer(later, near, 15*time.Millisecond, true)
 	g.Expect(pick(p, later)).To(Equal("near"))
 }
 
-func TestAnUpstreamThatFailsPartOfItsCallsGetsFewer(t *testing.T) {
+func TestAnUpstreamThatFailsSomeCallsGetsFewer(t *testing.T) {
 	g := NewWithT(t)
 	p := twpicker.New("elsewhere")
 	counts := make(map[string]int)
 	at := start
 	for range 300 {
 		at = at.Add(10 * time.Millisecond)
-		u, _ := p.Pick(at, three(), nil)
+		u, _ := p.Pick(at, threeUpstreams(), nil)
 		counts[u.ID]++
-		p.Answered(at, u, 15*time.Millisecond, u.ID != "far1")
+		p.RecordAnswer(at, u, 15*time.Millisecond, u.ID != "far1")
 	}
 	g.Expect(counts["far1"]).To(BeNumerically("<", 30))
 }
--- a/internal/delivery/twrelay/plain.go
+++ b/internal/delivery/twrelay/plain.go
@@ -183,14 +183,14 @@
 			return upstream, false
 		}
 		if err := r.config.Throttle.Admit(ctx, upstream.Key()); err != nil {
-			r.config.Picker.Withdrawn(upstream)
+			r.config.Picker.ReleasePick(upstream)
 			a.recordThrottled(err)
 			avoid[upstream.ID] = true
 			continue
 		}
 		if !r.spendSend(a) {
 			r.config.Throttle.Return(upstream.Key())
-			r.config.Picker.Withdrawn(upstream)
+			r.config.Picker.ReleasePick(upstream)
 			return upstream, false
 		}
 		return upstream, true
@@ -233,13 +233,13 @@
 	var sent *turmericwall.SendError
 	switch {
 	case got.err == nil:
-		r.config.Picker.Answered(now, got.upstream, got.duration, got.answer.Status < http.StatusInternalServerError)
+		r.config.Picker.RecordAnswer(now, got.upstream, got.duration, got.answer.Status < http.StatusInternalServerError)
 	case errors.Is(ctx.Err(), context.Canceled):
-		r.config.Picker.Withdrawn(got.upstream)
+		r.config.Picker.ReleasePick(got.upstream)
 	case errors.As(got.err, &sent) && sent.NotRun && !sent.Gone:
-		r.config.Picker.Answered(now, got.upstream, got.duration, false)
+		r.config.Picker.RecordAnswer(now, got.upstream, got.duration, false)
 	default:
-		r.config.Picker.Failed(now, got.upstream, got.duration)
+		r.config.Picker.RecordFailure(now, got.upstream, got.duration)
 	}
 }
 
--- a/internal/delivery/twrelay/stream.go
+++ b/internal/delivery/twrelay/stream.go
@@ -43,11 +43,11 @@
 		if answer.Status >= http.StatusInternalServerError {
 			end.Failed = p.Decode.ID
 		}
-		buffered, whole, err := bufferBody(answer)
+		buffered, complete, err := bufferBody(answer)
 		if err != nil {
 			return sendProblem(err)
 		}
-		return r.writeReply(a, reply{answer: answer, buffered: buffered, complete: whole})
+		return r.writeReply(a, reply{answer: answer, buffered: buffered, complete: complete})
 	}
 	copyHeader(a.w, answer)
 	a.headerWritten = true
