--- a/internal/delivery/twretries/budget.go
+++ b/internal/delivery/twretries/budget.go
@@ -1,4 +1,5 @@
-// Package twretries bounds the repeated sends of all daemons to a share of the calls.
+// Package twretries bounds the retries of all daemons together to a share of the calls. The relay and the delivery take
+// a retry from the budget before each further send of a call.
 package twretries
 
 import (
@@ -6,49 +7,50 @@
 	"time"
 )
 
-// margin is the part of the allowed repeats that is used. The daemons count their calls apart and windows
-// slide, so that the sum over all daemons may be off by what arrives within one bucket.
-const margin = 0.8
+// usedShare is the share of the allowed retries that is used. Each daemon counts its own calls and its windows slide,
+// so that the sum over all daemons may be off by what arrives within one bucket.
+const usedShare = 0.8
 
-// buckets is how many parts a window is counted in, and spareBuckets how many more are remembered: the newest one is not
-// over yet, and what is sent in one window may arrive in the next. With none to spare, two repeats 9.6 s apart were
-// counted in different windows of ten seconds here and in one there.
+// A window is counted in bucketCount-spareBucketCount buckets. The spare ones are needed because the newest bucket is
+// incomplete, and because a retry may arrive at the upstream one window later than it was counted here: without them,
+// two retries 9.6 s apart fell into different windows of 10 s here and into the same one at the upstream.
 const (
-	buckets      = 20
-	spareBuckets = 2
+	bucketCount      = 20
+	spareBucketCount = 2
 )
 
-// Config bounds the repeats.
+// Config sets the bounds of a Budget.
 type Config struct {
-	// Ratio is how many repeats each call allows.
+	// Ratio is the number of retries that each call earns.
 	Ratio float64
-	// Slack is what all daemons together may repeat beyond that in one window.
+	// Slack is the number of retries beyond those earned that all daemons together may make in one window.
 	Slack float64
 	// WindowMillis is the length of the sliding window.
 	WindowMillis int64
-	// Restarted tells that a daemon before this one may have spent its part of the slack within the window.
+	// Restarted is set when an earlier incarnation of this daemon may have spent its part of the slack within the window.
 	Restarted bool
 }
 
-// Budget counts the calls and repeats of one daemon for each service.
+// Budget counts the calls and retries of one daemon for each service.
 //
-// Without it each failure at the peak adds load that makes more fail: the symptom is a goodput that does not
-// come back after the fault is over. A share of fresh traffic can't feed itself.
+// Without a budget, failures at peak load cause retries that make more calls fail, and the goodput does not recover
+// when the fault ends. Retries bounded to a share of the new calls can't amplify themselves.
 type Budget struct {
 	mu       sync.Mutex
 	config   Config
 	services map[string]*window
-	// began is the first time that the budget saw. Windows are counted from it by the steady clock: a jump of the time
-	// of day over a window would empty it, and the daemons would repeat twice what is allowed.
-	began time.Time
+	// startedAt is the first time passed to the budget. Buckets are counted from it by the monotonic clock: a jump of the
+	// wall clock by more than a window would empty the window, and the daemons would retry twice as much as allowed.
+	startedAt time.Time
 }
 
+// window is the ring of buckets of one service.
 type window struct {
-	calls, repeats [buckets]int
-	// daemons are the most that shared the slack.
-	daemons [buckets]int
-	// at is the number of the newest bucket.
-	at int64
+	calls, retries [bucketCount]int
+	// daemonCounts holds, for each bucket, the largest number of daemons that shared the slack.
+	daemonCounts [bucketCount]int
+	// newest is the number of the newest bucket; its index in the ring is newest modulo bucketCount.
+	newest int64
 }
 
 // New returns a budget with nothing spent.
@@ -56,77 +58,78 @@
 	return &Budget{config: config, services: make(map[string]*window)}
 }
 
-// Earn counts a fresh call.
+// Earn counts a new call.
 func (b *Budget) Earn(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.advance(now, service)
-	w.calls[w.at%buckets]++
+	w := b.windowAt(now, service)
+	w.calls[w.newest%bucketCount]++
 }
 
-// Spend takes one repeat; daemons is the number of daemons that share the slack, 0 while that is unknown. It returns false when this
-// daemon's part of the window is used up.
+// Spend takes one retry from the budget. daemons is the number of daemons that share the slack, 0 while it is unknown.
+// It returns false when this daemon's part of the window is used up.
 func (b *Budget) Spend(now time.Time, service string, daemons int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.advance(now, service)
-	w.daemons[w.at%buckets] = max(w.daemons[w.at%buckets], daemons)
-	allowed := margin * (b.config.Ratio*float64(sum(w.calls)) + b.slack(now, w))
-	if float64(sum(w.repeats)+1) > allowed {
+	w := b.windowAt(now, service)
+	w.daemonCounts[w.newest%bucketCount] = max(w.daemonCounts[w.newest%bucketCount], daemons)
+	allowed := usedShare * (b.config.Ratio*float64(sum(w.calls)) + b.slack(now, w))
+	if float64(sum(w.retries)+1) > allowed {
 		return false
 	}
-	w.repeats[w.at%buckets]++
+	w.retries[w.newest%bucketCount]++
 	return true
 }
 
-// slack is this daemon's part of what all may repeat beyond their calls' share.
+// slack returns this daemon's part of the slack.
 //
-// A daemon that ends leaves what it has spent in the window. Its part goes to the others only when that is over, and the
-// daemon that starts in its place begins without any: with restarts and lost daemons, all together else spent up to a
-// seventh more than is allowed. While nobody tells how many share the slack, there is none.
+// What a terminated daemon has spent still counts in the window. Its part is therefore shared by the other daemons only
+// after the window, and the daemon started in its place begins with no slack: otherwise restarted and lost daemons let
+// all together spend up to a seventh more than allowed. While the number of daemons is unknown there is no slack.
 func (b *Budget) slack(now time.Time, w *window) float64 {
-	if b.config.Restarted && now.Sub(b.began).Milliseconds() < b.config.WindowMillis {
+	if b.config.Restarted && now.Sub(b.startedAt).Milliseconds() < b.config.WindowMillis {
 		return 0
 	}
-	most := 0
-	for _, n := range w.daemons {
-		most = max(most, n)
+	maxDaemons := 0
+	for _, n := range w.daemonCounts {
+		maxDaemons = max(maxDaemons, n)
 	}
-	if most == 0 {
+	if maxDaemons == 0 {
 		return 0
 	}
-	return b.config.Slack / float64(most)
+	return b.config.Slack / float64(maxDaemons)
 }
 
-// Charge counts a repeat that was already made.
+// Charge counts a retry that was already made.
 func (b *Budget) Charge(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.advance(now, service)
-	w.repeats[w.at%buckets]++
+	w := b.windowAt(now, service)
+	w.retries[w.newest%bucketCount]++
 }
 
-func (b *Budget) advance(now time.Time, service string) *window {
+// windowAt returns the service's window, advanced to the time.
+func (b *Budget) windowAt(now time.Time, service string) *window {
 	w, ok := b.services[service]
 	if !ok {
 		w = &window{}
 		b.services[service] = w
 	}
-	if b.began.IsZero() {
-		b.began = now
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
-	at := now.Sub(b.began).Milliseconds() / max(b.config.WindowMillis/(buckets-spareBuckets), 1)
-	for steps := 0; w.at < at && steps < buckets; steps++ {
-		w.at++
-		w.calls[w.at%buckets] = 0
-		w.repeats[w.at%buckets] = 0
-		w.daemons[w.at%buckets] = 0
+	newest := now.Sub(b.startedAt).Milliseconds() / max(b.config.WindowMillis/(bucketCount-spareBucketCount), 1)
+	for steps := 0; w.newest < newest && steps < bucketCount; steps++ {
+		w.newest++
+		w.calls[w.newest%bucketCount] = 0
+		w.retries[w.newest%bucketCount] = 0
+		w.daemonCounts[w.newest%bucketCount] = 0
 	}
-	w.at = max(w.at, at)
+	w.newest = max(w.newest, newest)
 	return w
 }
 
-func sum(counts [buckets]int) int {
+func sum(counts [bucketCount]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
