--- a/internal/delivery/twcanceller/canceller.go
+++ b/internal/delivery/twcanceller/canceller.go
@@ -1,4 +1,5 @@
-// Package twcanceller repeats cancels until the engines confirm them.
+// Package twcanceller frees the engine memory of attempts that ended early. Deliveries hand it their cancels, and it
+// repeats each one until the engine's load report confirms it.
 package twcanceller
 
 import (
@@ -12,18 +13,21 @@
 )
 
 const (
-	interval = 200 * time.Millisecond
-	// settleFor is above the reports' lag plus the longest time a start may be overtaken by its cancel.
-	settleFor  = 2 * time.Second
-	giveUpTime = 2 * time.Minute
+	retryInterval = 200 * time.Millisecond
+	// confirmDelay exceeds the lag of the engines' reports plus the longest time by which a cancel may overtake its
+	// attempt.
+	confirmDelay = 2 * time.Second
+	// cancelTimeout is how long an unconfirmed cancel is repeated.
+	cancelTimeout = 2 * time.Minute
+	// maxPending bounds the unconfirmed cancels.
 	maxPending = 1 << 14
 )
 
 // Canceller implements turmericwall.Canceller.
 //
-// A cancel can be lost, or overtake the start that it is meant for: the engine would then hold memory
-// for a request that is gone. So a cancel is sent until it was answered and, after a time above the
-// lag of the reports, a report does not list the attempt.
+// A cancel can be lost, or overtake the attempt that it is meant for: the engine would then hold memory for a request
+// that has ended. So a cancel is repeated until the engine answered it and a report from at least confirmDelay later
+// does not list the attempt.
 type Canceller struct {
 	engines  turmericwall.Engines
 	clock    clockwork.Clock
@@ -31,7 +35,7 @@
 	added    chan struct{}
 
 	mu      sync.Mutex
-	pending map[target]*progress
+	pending map[target]*pendingCancel
 }
 
 type target struct {
@@ -39,32 +43,33 @@
 	attempt string
 }
 
-type progress struct {
+type pendingCancel struct {
 	vm             turmericwall.VM
 	giveUpDeadline time.Time
-	// settledAt is when a report may confirm the cancel; zero while it was not answered.
-	settledAt time.Time
+	// confirmableAt is when a report may confirm the cancel; zero until the engine has answered the cancel.
+	confirmableAt time.Time
 }
 
-// Config names what the canceller calls.
+// Config holds the canceller's dependencies.
 type Config struct {
 	Engines  turmericwall.Engines
 	Clock    clockwork.Clock
 	Recorder turmericwall.Recorder
 }
 
-// New returns a canceller; it works while Run runs.
+// New returns a canceller that sends nothing until Run is called.
 func New(config Config) *Canceller {
 	return &Canceller{
 		engines:  config.Engines,
 		clock:    config.Clock,
 		recorder: config.Recorder,
 		added:    make(chan struct{}, 1),
-		pending:  make(map[target]*progress),
+		pending:  make(map[target]*pendingCancel),
 	}
 }
 
-// Cancel notes the attempt. When too many are pending the leader's sweep takes over.
+// Cancel queues a cancel of the attempt. When too many are pending it is dropped, and the leader's sweep frees the
+// memory.
 func (c *Canceller) Cancel(vm turmericwall.VM, attempt string) {
 	if vm.Address == "" {
 		return
@@ -75,26 +80,26 @@
 	if _, ok := c.pending[t]; ok || len(c.pending) >= maxPending {
 		return
 	}
-	c.pending[t] = &progress{vm: vm, giveUpDeadline: c.clock.Now().Add(giveUpTime)}
+	c.pending[t] = &pendingCancel{vm: vm, giveUpDeadline: c.clock.Now().Add(cancelTimeout)}
 	select {
 	case c.added <- struct{}{}:
 	default:
 	}
 }
 
-// Pending counts the cancels that are not confirmed.
+// Pending returns the number of cancels that are not confirmed.
 func (c *Canceller) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending)
 }
 
-// Run sends cancels until ctx ends.
+// Run sends and confirms cancels until ctx ends.
 func (c *Canceller) Run(ctx context.Context) error {
-	ticker := c.clock.NewTicker(interval)
+	ticker := c.clock.NewTicker(retryInterval)
 	defer ticker.Stop()
 	for {
-		c.round(ctx)
+		c.processDue(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -104,22 +109,24 @@
 	}
 }
 
-// round works on each engine in a goroutine of its own, so that a dead one does not hold up the rest.
-func (c *Canceller) round(ctx context.Context) {
-	byEngine := c.due()
-	ends := make(chan struct{})
+// processDue sends and confirms the due cancels of each engine in its own goroutine, so that within a round an
+// unreachable engine does not delay the others.
+func (c *Canceller) processDue(ctx context.Context) {
+	byEngine := c.dueByEngine()
+	done := make(chan struct{})
 	for address, targets := range byEngine {
 		go func() {
-			c.work(ctx, address, targets)
-			ends <- struct{}{}
+			c.processEngine(ctx, address, targets)
+			done <- struct{}{}
 		}()
 	}
 	for range byEngine {
-		<-ends
+		<-done
 	}
 }
 
-func (c *Canceller) due() map[string][]target {
+// dueByEngine returns the cancels to send or confirm now by engine address, and drops those past their deadline.
+func (c *Canceller) dueByEngine() map[string][]target {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,20 +136,20 @@
 			delete(c.pending, t)
 			continue
 		}
-		if p.settledAt.IsZero() || !now.Before(p.settledAt) {
+		if p.confirmableAt.IsZero() || !now.Before(p.confirmableAt) {
 			byEngine[t.address] = append(byEngine[t.address], t)
 		}
 	}
 	return byEngine
 }
 
-func (c *Canceller) work(ctx context.Context, address string, targets []target) {
+func (c *Canceller) processEngine(ctx context.Context, address string, targets []target) {
 	engine := c.engines.Engine(address)
 	var listed map[string]bool
 	for _, t := range targets {
-		if c.settled(t) {
+		if c.isAnswered(t) {
 			if listed == nil {
-				listed = c.list(ctx, engine)
+				listed = c.listAttempts(ctx, engine)
 			}
 			if listed != nil && !listed[t.attempt] {
 				c.confirm(t)
@@ -150,13 +157,13 @@
 			}
 		}
 		if engine.Cancel(ctx, t.attempt) == nil {
-			c.answered(t)
+			c.recordAnswer(t)
 		}
 	}
 }
 
-// list returns nil when the engine gives no report.
-func (c *Canceller) list(ctx context.Context, engine turmericwall.Engine) map[string]bool {
+// listAttempts returns the attempts in the engine's report, or nil when the engine gives no report.
+func (c *Canceller) listAttempts(ctx context.Context, engine turmericwall.Engine) map[string]bool {
 	report, err := engine.Report(ctx, true)
 	if err != nil {
 		return nil
@@ -168,18 +175,18 @@
 	return listed
 }
 
-func (c *Canceller) settled(t target) bool {
+func (c *Canceller) isAnswered(t target) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.pending[t]
-	return ok && !p.settledAt.IsZero()
+	return ok && !p.confirmableAt.IsZero()
 }
 
-func (c *Canceller) answered(t target) {
+func (c *Canceller) recordAnswer(t target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p, ok := c.pending[t]; ok {
-		p.settledAt = c.clock.Now().Add(settleFor)
+		p.confirmableAt = c.clock.Now().Add(confirmDelay)
 		c.recorder.Record(turmericwall.EventCancelSent).Str("engine", p.vm.Name).Str("attempt", t.attempt).Send()
 	}
 }
--- a/internal/delivery/twcanceller/canceller_test.go
+++ b/internal/delivery/twcanceller/canceller_test.go
@@ -16,12 +16,12 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twtrace"
 )
 
-// engine holds attempts; it forgets cancels of attempts that it does not hold.
+// engine simulates an engine that holds attempts; a cancel of an attempt that it does not hold has no effect.
 type engine struct {
-	mu      sync.Mutex
-	held    map[string]bool
-	cancels int
-	deaf    bool
+	mu           sync.Mutex
+	held         map[string]bool
+	cancels      int
+	unresponsive bool
 }
 
 func (e *engine) Engine(string) turmericwall.Engine { return e }
@@ -30,7 +30,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cancels++
-	if e.deaf {
+	if e.unresponsive {
 		return context.DeadlineExceeded
 	}
 	delete(e.held, attempt)
@@ -59,7 +59,7 @@
 	return turmericwall.CacheEvents{}, nil
 }
 
-func (e *engine) count() int {
+func (e *engine) cancelCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cancels
@@ -77,13 +77,13 @@
 	return e.held[attempt]
 }
 
-func (e *engine) setDeaf(deaf bool) {
+func (e *engine) setUnresponsive(unresponsive bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.deaf = deaf
+	e.unresponsive = unresponsive
 }
 
-func start(t *testing.T, e *engine) (*twcanceller.Canceller, *clockwork.FakeClock) {
+func startCanceller(t *testing.T, e *engine) (*twcanceller.Canceller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	c := twcanceller.New(twcanceller.Config{
 		Engines: e, Clock: clock, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard, Trace: twtrace.New()}),
@@ -98,37 +98,37 @@
 	return c, clock
 }
 
-// advance lets the canceller's time pass until the condition holds.
-func advance(g *WithT, clock *clockwork.FakeClock, condition func() bool) {
+// advanceUntil advances the clock until the condition holds.
+func advanceUntil(g *WithT, clock *clockwork.FakeClock, condition func() bool) {
 	g.Eventually(func() bool {
 		clock.Advance(200 * time.Millisecond)
 		return condition()
 	}).Should(BeTrue())
 }
 
-// The cancel overtakes its start: the engine answers that it holds nothing, and then the start arrives.
-// A later report lists the attempt, and the cancel is sent again.
+// A cancel overtakes its attempt: the engine answers that it holds nothing, and then the attempt arrives. A later
+// report lists the attempt, and the cancel must be sent again.
 func TestCancelThatOvertakesItsStartIsRepeated(t *testing.T) {
 	g := NewWithT(t)
 	e := &engine{held: map[string]bool{}}
-	c, clock := start(t, e)
+	c, clock := startCanceller(t, e)
 	c.Cancel(turmericwall.VM{Name: "e", Address: "e"}, "a")
-	g.Eventually(e.count).Should(BeNumerically(">=", 1))
+	g.Eventually(e.cancelCount).Should(BeNumerically(">=", 1))
 	e.hold("a")
-	advance(g, clock, func() bool { return !e.holds("a") })
-	advance(g, clock, func() bool { return c.Pending() == 0 })
+	advanceUntil(g, clock, func() bool { return !e.holds("a") })
+	advanceUntil(g, clock, func() bool { return c.Pending() == 0 })
 }
 
-// The engine does not answer for a while. The cancel is repeated until it does, and confirmed only by a
-// report that does not list the attempt.
+// The engine does not answer for a while. The cancel must be repeated until it does, and be confirmed only by a report
+// that does not list the attempt.
 func TestCancelIsRepeatedUntilConfirmed(t *testing.T) {
 	g := NewWithT(t)
-	e := &engine{held: map[string]bool{"a": true}, deaf: true}
-	c, clock := start(t, e)
+	e := &engine{held: map[string]bool{"a": true}, unresponsive: true}
+	c, clock := startCanceller(t, e)
 	c.Cancel(turmericwall.VM{Name: "e", Address: "e"}, "a")
-	advance(g, clock, func() bool { return e.count() >= 3 })
+	advanceUntil(g, clock, func() bool { return e.cancelCount() >= 3 })
 	g.Expect(c.Pending()).To(Equal(1))
-	e.setDeaf(false)
-	advance(g, clock, func() bool { return c.Pending() == 0 })
+	e.setUnresponsive(false)
+	advanceUntil(g, clock, func() bool { return c.Pending() == 0 })
 	g.Expect(e.holds("a")).To(BeFalse())
 }
