--- a/internal/delivery/twbackoff/backoffs.go
+++ b/internal/delivery/twbackoff/backoffs.go
@@ -1,4 +1,5 @@
-// Package twbackoff keeps for how long upstreams want no call from this daemon.
+// Package twbackoff keeps the back-offs that upstreams asked this daemon for: until when each accepts no call from it.
+// The throttle consults it before each send.
 package twbackoff
 
 import (
@@ -13,14 +14,14 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// maxSpan bounds what an upstream may ask for: it may have mistaken the unit.
-const maxSpan = time.Hour
+// maxBackoff bounds the back-off that an upstream can ask for, because it may have mistaken the unit.
+const maxBackoff = time.Hour
 
-// maxRetrySeconds keeps a time to come back from overflowing.
+// maxRetrySeconds keeps a stated number of seconds from overflowing time.Duration.
 const maxRetrySeconds = 1e6
 
-// RetryAt is when an answer says that the call may be made again; zero when it says nothing that can be read. The header holds
-// seconds, which may have fractions, or a date.
+// RetryAt parses the Retry-After header, which holds seconds, possibly with a fraction, or a date. It returns the zero
+// time when the header is missing or invalid.
 func RetryAt(now time.Time, header http.Header) time.Time {
 	value := strings.TrimSpace(header.Get("Retry-After"))
 	if at, err := http.ParseTime(value); err == nil {
@@ -33,33 +34,34 @@
 	return now.Add(time.Duration(min(seconds, maxRetrySeconds) * float64(time.Second)))
 }
 
-// Backoffs hold the latest time that each upstream asked for. They have no clock.
+// Backoffs holds the latest back-off of each upstream. Its callers pass the time.
 type Backoffs struct {
 	mu    sync.Mutex
 	until map[turmericwall.UpstreamKey]time.Time
-	// any tells that there are backoffs: usually there are none, and they are asked for each engine at each call.
-	any atomic.Bool
+	// nonEmpty is set while there may be back-offs. Usually there are none, and each call checks every engine, so the
+	// check must not need the lock.
+	nonEmpty atomic.Bool
 }
 
-// New returns backoffs of no upstream.
+// New returns an empty set of back-offs.
 func New() *Backoffs { return &Backoffs{until: make(map[turmericwall.UpstreamKey]time.Time)} }
 
-// Take notes that the upstream wants no call before the time until.
+// Take records that the upstream accepts no call before until. An earlier back-off that lasts longer stays.
 func (b *Backoffs) Take(now time.Time, upstream turmericwall.UpstreamKey, until time.Time) {
-	if latest := now.Add(maxSpan); until.After(latest) {
+	if latest := now.Add(maxBackoff); until.After(latest) {
 		until = latest
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if until.After(b.until[upstream]) {
 		b.until[upstream] = until
-		b.any.Store(true)
+		b.nonEmpty.Store(true)
 	}
 }
 
-// Until is when the upstream takes calls again; it is zero when it takes them now.
+// Until returns when the upstream accepts calls again; zero when it is not in back-off.
 func (b *Backoffs) Until(now time.Time, upstream turmericwall.UpstreamKey) time.Time {
-	if !b.any.Load() {
+	if !b.nonEmpty.Load() {
 		return time.Time{}
 	}
 	b.mu.Lock()
@@ -70,7 +72,7 @@
 	return time.Time{}
 }
 
-// Forget drops what is over.
+// Forget discards expired back-offs.
 func (b *Backoffs) Forget(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,5 +81,5 @@
 			delete(b.until, key)
 		}
 	}
-	b.any.Store(len(b.until) > 0)
+	b.nonEmpty.Store(len(b.until) > 0)
 }
--- a/internal/delivery/twbackoff/backoffs_test.go
+++ b/internal/delivery/twbackoff/backoffs_test.go
@@ -10,7 +10,7 @@
 	"github.com/turmericwall/turmericwall/internal/delivery/twbackoff"
 )
 
-func TestTheLatestTimeCounts(t *testing.T) {
+func TestTheLatestBackoffAppliesUpToItsLimit(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	after := func(seconds int) time.Time { return now.Add(time.Duration(seconds) * time.Second) }
