--- a/internal/delivery/twdelivery/run.go
+++ b/internal/delivery/twdelivery/run.go
@@ -128,7 +128,7 @@
 
 func (r *run) promptWithAnswer() string { return r.request.Prompt + r.assembly.Text() }
 
-func (r *run) remainingTokens() int { return r.request.MaxTokens - r.assembly.Delivered() }
+func (r *run) remainingTokens() int { return r.request.MaxTokens - r.assembly.DeliveredTokens() }
 
 // runGrant runs the request on the granted pair. On an error it returns the engine whose call failed.
 func (r *run) runGrant(ctx context.Context, name string, grant turmericwall.Grant) (turmericwall.VM, error) {
@@ -171,14 +171,14 @@
 // decode streams the answer. An attempt that does not end cleanly is cancelled on the decode engine, and on the prefill
 // engine when its export can't be used again.
 func (r *run) decode(ctx context.Context, call turmericwall.EngineCall, grant turmericwall.Grant) error {
-	r.assembly.Begin(call.Attempt)
-	before := r.assembly.Delivered()
+	r.assembly.BeginAttempt(call.Attempt)
+	before := r.assembly.DeliveredTokens()
 	err := r.delivery.config.Engines.Engine(grant.Decode.Address).Decode(ctx, call, r.export, r.deliverChunk)
-	if r.assembly.Delivered() > before {
+	if r.assembly.DeliveredTokens() > before {
 		r.usefulTokens = max(r.usefulTokens, r.export.ComputedTokens)
 		r.exportDeadline = time.Time{}
 	}
-	if r.assembly.Whole() {
+	if r.assembly.Complete() {
 		return nil
 	}
 	r.delivery.config.Canceller.Cancel(grant.Decode, call.Attempt)
@@ -201,7 +201,7 @@
 }
 
 func (r *run) deliverChunk(c turmericwall.Chunk) error {
-	for _, text := range r.assembly.Take(c) {
+	for _, text := range r.assembly.Add(c) {
 		if err := r.sink.Token(text); err != nil {
 			return err
 		}
@@ -221,7 +221,7 @@
 
 func (r *run) recordFailure(name string, failed turmericwall.VM, err error) {
 	r.delivery.config.Recorder.Record(turmericwall.EventAttemptFailed).Str("request", r.request.ID).Str("attempt", name).
-		Str("engine", failed.Name).Int("delivered", int64(r.assembly.Delivered())).Err(err).Send()
+		Str("engine", failed.Name).Int("delivered", int64(r.assembly.DeliveredTokens())).Err(err).Send()
 	r.avoidEngine(failed)
 }
 
@@ -246,7 +246,7 @@
 	prompt := twblocks.Tokens(r.request.Prompt)
 	return turmericwall.Usage{
 		PromptTokens:     prompt,
-		CompletionTokens: r.assembly.Delivered(),
-		TotalTokens:      prompt + r.assembly.Delivered(),
+		CompletionTokens: r.assembly.DeliveredTokens(),
+		TotalTokens:      prompt + r.assembly.DeliveredTokens(),
 	}
 }
