--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -217,7 +217,8 @@
 		throttle: &fakeThrottle{
 			closedUntil: make(map[string]time.Time), backoffUntil: make(map[string]time.Time),
 			admitted: make(map[string]int),
-		}, view: twupstreams.New(twupstreams.Config{}), slack: 50,
+		},
+		view: twupstreams.New(twupstreams.Config{}), slack: 50,
 	}
 	s.proof = twproof.New(twproof.Config{MaxAge: time.Minute, Current: time.Minute})
 	s.proof.Confirm(twboottime.Now())
@@ -233,8 +234,8 @@
 			},
 			{
 				Name: "model", Host: "h", Prefix: "/m/", Kind: turmericwall.CallStream, MaxUpstreams: 1, TimeoutMillis: 2000,
-				TargetMillis: 1000,
-				Model:        true, EventGapMillis: 300, Services: []turmericwall.WeightedService{{Service: "engines", Weight: 1}},
+				TargetMillis: 1000, Model: true, EventGapMillis: 300,
+				Services: []turmericwall.WeightedService{{Service: "engines", Weight: 1}},
 			},
 			{
 				Name: "empty", Host: "h", Prefix: "/e/", Kind: kind, TimeoutMillis: 900,
@@ -245,8 +246,7 @@
 			{Name: "plain", MaxConnections: 10},
 			{Name: "none", MaxConnections: 10},
 			{Name: "engines", MaxConnections: 10, Engine: &turmericwall.EnginePlan{
-				Slots: 4, MemoryTokens: 50_000,
-				TokensPerEvent: 50, MaxReservationMillis: 2000,
+				Slots: 4, MemoryTokens: 50_000, TokensPerEvent: 50, MaxReservationMillis: 2000,
 			}},
 		},
 		Limits: turmericwall.CallerLimits{MaxBodyBytes: 1000},
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -64,8 +64,8 @@
 	target := a.call.ReceivedAt.Add(time.Duration(a.route.TargetMillis) * time.Millisecond)
 	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceAsk{
 		ID: a.call.ID + "/" + strconv.Itoa(attemptNumber), Service: a.service.Name, Owner: r.config.Daemon,
-		Zone: r.config.Zone,
-		Work: a.call.Work, TargetDeadline: target, GiveUpDeadline: a.deadline, CallerDeadline: a.call.Deadline, Avoid: avoid,
+		Zone: r.config.Zone, Work: a.call.Work, TargetDeadline: target, GiveUpDeadline: a.deadline,
+		CallerDeadline: a.call.Deadline, Avoid: avoid,
 		EventGapMillis: a.route.EventGapMillis, Account: a.call.Account, Units: a.quotaUnits,
 		Priority: a.route.Priority,
 	})
@@ -263,8 +263,8 @@
 	errRetryBudgetUsed = errors.New("the service's retry budget is used up")
 )
 
-// handleSendError sorts a failed send to the decode engine by whether the call may be placed again and which engine is
-// at fault.
+// handleSendError records in end and avoid which engine is at fault for a failed send to the decode engine. It reports
+// whether the call has its final outcome, because it may have run; otherwise the call is placed again.
 func (r *Relay) handleSendError(
 	ctx context.Context, p turmericwall.Placement, err error, end *turmericwall.PlacementEnd, avoid *[]string,
 ) (bool, error) {
@@ -334,8 +334,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*max(time.Until(p.ReadDeadline), 0)+prefillSlack)
 	defer cancel()
 	export, err := r.config.Upstreams.Prefill(ctx, p.Prefill, turmericwall.Outgoing{
-		Call: a.call, Deadline: out.Deadline,
-		Priority: out.Priority,
+		Call: a.call, Deadline: out.Deadline, Priority: out.Priority,
 	})
 	if err != nil && !a.prefilled {
 		r.chargeSend(a)
--- a/internal/delivery/twrelay/move.go
+++ b/internal/delivery/twrelay/move.go
@@ -22,7 +22,8 @@
 type moveResult struct {
 	placement turmericwall.Placement
 	export    turmericwall.EngineExport
-	copied    bool
+	// copied is set when the memory was copied; otherwise only the stopped engine itself can import the export.
+	copied bool
 	// stopped is set when the engine may have stopped the run.
 	stopped bool
 	err     error
@@ -92,9 +93,8 @@
 	work.MaxTokens = max(work.MaxTokens-generatedTokens, a.service.Engine.TokensPerEvent)
 	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceAsk{
 		ID: fmt.Sprintf("%s/m%d", a.call.ID, request.sequence), Service: a.service.Name, Owner: r.config.Daemon,
-		Zone: request.from.Zone,
-		Work: work, TargetDeadline: a.deadline, GiveUpDeadline: a.deadline, CallerDeadline: a.call.Deadline,
-		EventGapMillis: a.route.EventGapMillis, Moving: true, Avoid: []string{request.from.ID},
+		Zone: request.from.Zone, Work: work, TargetDeadline: a.deadline, GiveUpDeadline: a.deadline,
+		CallerDeadline: a.call.Deadline, EventGapMillis: a.route.EventGapMillis, Moving: true, Avoid: []string{request.from.ID},
 	})
 	if err != nil {
 		return moveResult{err: err}
--- a/internal/delivery/twrelay/plain.go
+++ b/internal/delivery/twrelay/plain.go
@@ -165,6 +165,7 @@
 	}
 }
 
+// pickAndSend picks an upstream and sends the call to it; it returns false when there is none to send to.
 func (r *Relay) pickAndSend(ctx context.Context, a *attempt, avoid map[string]bool) (reply, bool) {
 	upstream, ok := r.pickUpstream(ctx, a, avoid)
 	if !ok {
@@ -243,7 +244,7 @@
 	}
 }
 
-// bufferBody reads the answer's body up to maxBufferedBytes; complete reports whether that is the whole body.
+// bufferBody reads the answer's body up to maxBufferedBytes and reports whether that is the whole body.
 func bufferBody(answer *turmericwall.Answer) ([]byte, bool, error) {
 	if isEncoded(answer) {
 		_ = answer.Body.Close()
