--- a/internal/delivery/twdelivery/delivery.go
+++ b/internal/delivery/twdelivery/delivery.go
@@ -48,7 +48,7 @@
 		wastedTokens:   metrics.GetOrRegisterCounter("prefill.wastedTokens", config.Registry),
 		retryCount:     metrics.GetOrRegisterCounter("delivery.retries", config.Registry),
 		activeAttempts: make(map[string]bool),
-		retryBudget:    twretries.New(twretries.Config{
+		retryBudget: twretries.New(twretries.Config{
 			Ratio: retryRatio, Slack: retrySlack, WindowMillis: retryWindowMillis,
 		}),
 	}
--- a/internal/delivery/twrelay/move.go
+++ b/internal/delivery/twrelay/move.go
@@ -94,7 +94,8 @@
 	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceAsk{
 		ID: fmt.Sprintf("%s/m%d", a.call.ID, request.sequence), Service: a.service.Name, Owner: r.config.Daemon,
 		Zone: request.from.Zone, Work: work, TargetDeadline: a.deadline, GiveUpDeadline: a.deadline,
-		CallerDeadline: a.call.Deadline, EventGapMillis: a.route.EventGapMillis, Moving: true, Avoid: []string{request.from.ID},
+		CallerDeadline: a.call.Deadline, EventGapMillis: a.route.EventGapMillis, Moving: true,
+		Avoid: []string{request.from.ID},
 	})
 	if err != nil {
 		return moveResult{err: err}
