--- a/clients.go
+++ b/clients.go
@@ -1,31 +1,33 @@
 package turmericwall
 
-// ClientAccount is one client account as the operator's plan declares it.
+// ClientAccount is one client account of a route plan.
 type ClientAccount struct {
-	// Name is what upstreams are told of the caller.
+	// Name identifies the account; upstreams receive it with each call.
 	Name string `json:"name"`
-	// KeyDigests are the SHA-256 digests of the account's keys, in hexadecimal digits. The keys themselves are not kept.
+	// KeyDigests are the SHA-256 digests of the account's keys in hexadecimal digits. The keys themselves are not
+	// stored.
 	KeyDigests []string `json:"keyDigests"`
-	// Priority replaces the rank of a call's route; nil leaves it as it is.
+	// Priority replaces the priority of a call's route; nil leaves it unchanged.
 	Priority *int  `json:"priority,omitempty"`
 	Quota    Quota `json:"quota"`
 }
 
-// Quota bounds what one account may ask of all daemons together. The zero value sets no limit.
+// Quota limits the use of one account over all daemons together. The zero value sets no limit.
 type Quota struct {
-	// PerSecond and Burst are counted in units: calls, or tokens where CountsTokens is set.
+	// PerSecond is the rate in units per second, and Burst the units that may be used at once. A unit is a call, or a
+	// token if CountsTokens is set.
 	PerSecond float64 `json:"perSecond,omitempty"`
 	Burst     float64 `json:"burst,omitempty"`
-	// CountsTokens tells that a call counts as its tokens.
+	// CountsTokens is set if a call is charged by its tokens.
 	CountsTokens bool `json:"countsTokens,omitempty"`
-	// PlainTokens is what a call that states no tokens counts as.
+	// PlainTokens is the charge for a call that states no tokens.
 	PlainTokens int `json:"plainTokens,omitempty"`
 }
 
-// Limits tells that the quota sets a limit.
+// Limits reports whether the quota sets a limit.
 func (q Quota) Limits() bool { return q.PerSecond > 0 }
 
-// Units is what one call counts as.
+// Units returns the charge for one call. A charge in tokens includes the largest length of the answer.
 func (q Quota) Units(work ModelWork) float64 {
 	if !q.CountsTokens {
 		return 1
@@ -36,27 +38,27 @@
 	return float64(work.PromptTokens) + float64(work.MaxTokens)
 }
 
-// QuotaMeter counts what client accounts use, and refuses what is over their quotas.
+// QuotaMeter charges calls to the quotas of client accounts and refuses calls over the quota.
 type QuotaMeter interface {
-	// Charge takes what a call counts as from its account's quota. The error is a *Problem that says when to come back.
+	// Charge charges units to the account's quota. The error is a *Problem with a retry time.
 	Charge(account string, units float64) error
-	// ChargeAlone does so for a call that the leader gave no answer to.
+	// ChargeAlone charges units for a call that is placed without the leader.
 	ChargeAlone(account string, units float64) error
-	// Refund gives back what was taken for a call that did not run.
+	// Refund returns the units that were charged for a call that did not run.
 	Refund(account string, units float64)
 }
 
-// AccountUse is what one daemon counted of an account's calls by itself, since the daemon's start.
+// AccountUse is what one daemon itself has charged to an account since the daemon's start.
 type AccountUse struct {
 	Account string `json:"account"`
 	Units   int64  `json:"units"`
-	// Alone are the units that the leader before the present one can't have counted.
+	// Alone are those of the units that the previous leader can't have counted.
 	Alone int64 `json:"alone,omitempty"`
 }
 
-// AccountLevel is what is left of an account's quota.
+// AccountLevel is the rest of an account's quota by the leader's count.
 type AccountLevel struct {
 	Account string `json:"account"`
-	// Units may be negative: what is used at the same time at many daemons is counted after it.
+	// Units may be negative, since the leader counts the use at other daemons only after they report it.
 	Units int64 `json:"units"`
 }
--- a/decisions.go
+++ b/decisions.go
@@ -2,78 +2,80 @@
 
 import "time"
 
-// Event is an input of a Policy.
+// Event is an input of a Policy: Arrival, Finished, Reported, Cached, Listed, OwnerLost, Withdrawn or Tick.
 type Event interface{ isEvent() }
 
-// Action is an output of a Policy.
+// Action is an output of a Policy: Grant, Refusal or Sweep.
 type Action interface{ isAction() }
 
-// Arrival asks for a place for one attempt.
+// Arrival requests a placement for one attempt.
 type Arrival struct {
-	// Attempt is unique; its part before the first slash names the owner's incarnation.
+	// Attempt is the attempt's unique ID. Its part before the first slash is the incarnation of the owner, the daemon
+	// that serves the caller.
 	Attempt string
 	Service string
 	Model   string
 	Account string
-	// Work names the kind of work; entries of one kind share a queue.
+	// Work is the name of the kind of work. Arrivals of one kind share a queue.
 	Work   string
 	Urgent bool
-	// Worth is the value of one finished request of this kind.
+	// Worth is the value of one finished request of this kind relative to other kinds.
 	Worth float64
-	// TokenGapMillis is the target for the time between tokens; zero sets none.
+	// TokenGapMillis is the target for the mean time between tokens; zero means none.
 	TokenGapMillis float64
 	PromptTokens   int
 	MaxTokens      int
 	// Blocks are the chained hashes of the prompt's blocks.
 	Blocks []uint64
-	// FirstTokenDeadline is when the first token is due; zero means that the request may wait.
+	// FirstTokenDeadline is the target time of the first token; zero means that the request is deferrable.
 	FirstTokenDeadline time.Time
-	// GiveUpDeadline ends the wait of a request that may wait; zero waits without limit.
+	// GiveUpDeadline limits the wait of a deferrable request; zero means no limit.
 	GiveUpDeadline time.Time
-	// Resumed attempts continue an answer already begun and go first.
+	// Resumed is set for an attempt that continues a partial answer. Such attempts go first.
 	Resumed bool
-	// Prefilled names the engine that still holds the attempt's export, so that only a decode place is wanted.
+	// Prefilled is the engine that still holds the attempt's export, so that only a decode engine is requested; empty
+	// if there is none.
 	Prefilled string
-	// Avoid names engines that failed this request.
+	// Avoid are the engines that failed this request.
 	Avoid []string
 }
 
 // Finished reports the end of an attempt.
 type Finished struct{ Ending Ending }
 
-// Ending tells how an attempt ended.
+// Ending states how an attempt ended.
 type Ending struct {
 	Service string
 	Attempt string
-	// FailedEngine names the engine that failed the attempt, if one did.
+	// FailedEngine is the engine that failed the attempt; empty if none did.
 	FailedEngine string
 }
 
-// Reported brings an engine's load report.
+// Reported carries an engine's load report.
 type Reported struct {
 	VM     VM
 	Report Report
 }
 
-// Cached brings an engine's cache events.
+// Cached carries an engine's prefix-cache events.
 type Cached struct {
 	Engine string
 	Events CacheEvents
 }
 
-// Listed brings the current list of the service's engines and of the links between their zones.
+// Listed carries the current lists of the service's engines and of the links between data centres.
 type Listed struct {
 	VMs   []VM
 	Links []Link
 }
 
-// OwnerLost tells that a daemon's incarnation is gone.
+// OwnerLost reports that a daemon's incarnation has terminated.
 type OwnerLost struct{ Incarnation string }
 
-// Withdrawn takes a waiting arrival back.
+// Withdrawn removes a waiting arrival.
 type Withdrawn struct{ Attempt string }
 
-// Tick lets time pass.
+// Tick reports that time has passed and carries nothing else.
 type Tick struct{}
 
 func (Arrival) isEvent()   {}
@@ -85,34 +87,35 @@
 func (Withdrawn) isEvent() {}
 func (Tick) isEvent()      {}
 
-// Grant places one attempt on a pair of engines.
+// Grant places one attempt on a prefill and a decode engine.
 type Grant struct {
 	Attempt string
 	Prefill VM
 	Decode  VM
-	// ReservedUntil is when the decode reservation lapses unless the engine reports the attempt.
+	// ReservedUntil is when the decode reservation expires unless the engine's report lists the attempt by then.
 	ReservedUntil time.Time
-	// CachedTokens is how much of the prompt the prefill engine is believed to hold.
+	// CachedTokens is the estimated number of prompt tokens in the prefill engine's cache.
 	CachedTokens int
-	// FirstToken is when the first token is expected.
+	// FirstToken is the expected time of the first token.
 	FirstToken time.Time
-	// Reason says in a few words what decided.
+	// Reason states in a few words what decided the choice of engines.
 	Reason string
-	// Considered counts the engines weighed.
+	// Considered is the number of engines that were compared.
 	Considered int
 }
 
-// Refusal turns one attempt away.
+// Refusal refuses one attempt.
 type Refusal struct {
 	Attempt string
 	Reason  string
-	// RetryAt is when the backlog is expected to leave room.
+	// RetryAt is when the backlog is expected to be short enough to accept the attempt.
 	RetryAt time.Time
-	// Never says that no engine could ever hold the attempt.
+	// Never is set if the attempt exceeds every engine, so that a retry can't succeed.
 	Never bool
 }
 
-// Sweep asks the driver to find out whether the attempt's owner still wants it, and else to cancel it.
+// Sweep requests that the attempt be cancelled at the engine unless its owner still needs it. The caller of Step
+// queries the owner.
 type Sweep struct {
 	VM      VM
 	Attempt string
--- a/document.go
+++ b/document.go
@@ -1,6 +1,6 @@
 package turmericwall
 
-// Document is one environment's configuration; it names no addresses.
+// Document is one revision of an environment's configuration. It contains no addresses and must not be changed.
 type Document struct {
 	revision int64
 	digest   string
@@ -8,15 +8,15 @@
 	tree     DocumentTree
 }
 
-// NewDocument returns a checked document; use the parser of the document slice to make one.
+// NewDocument returns a document without checking it; package twparser decodes and checks documents.
 func NewDocument(revision int64, digest string, source []byte, tree DocumentTree) *Document {
 	return &Document{revision: revision, digest: digest, source: source, tree: tree}
 }
 
-// Revision counts the accepted changes of the environment, from 1.
+// Revision returns the number of accepted changes of the environment, this one included.
 func (d *Document) Revision() int64 { return d.revision }
 
-// Digest is the SHA-256 of the source, in hexadecimal digits.
+// Digest returns the SHA-256 of the source in hexadecimal digits.
 func (d *Document) Digest() string { return d.digest }
 
 // Source returns the bytes as the operator wrote them.
@@ -53,7 +53,7 @@
 // Links returns the declared links between zones.
 func (d *Document) Links() []Link { return d.tree.Links }
 
-// Work returns the kind of work.
+// Work returns the kind of work with the name.
 func (d *Document) Work(name string) (*Work, bool) {
 	for i := range d.tree.Work {
 		if d.tree.Work[i].Name == name {
@@ -63,7 +63,7 @@
 	return nil, false
 }
 
-// DocumentTree is the document's content, strictly decoded.
+// DocumentTree is the content of a document. Unknown fields are rejected when it is decoded.
 type DocumentTree struct {
 	// Services are what callers can reach.
 	Services []Service `json:"services"`
@@ -71,11 +71,11 @@
 	Work []Work `json:"work"`
 	// Accounts are the callers' accounts.
 	Accounts []Account `json:"accounts"`
-	// Links gives the rates between zones; an unlisted pair has no limit.
+	// Links are the rates between data centres; a pair that is not listed has no limit.
 	Links []Link `json:"links,omitempty"`
 }
 
-// ServiceType tells model engines from plain services.
+// ServiceType distinguishes services with model engines from plain services.
 type ServiceType string
 
 // The types of service.
@@ -91,29 +91,30 @@
 	Type ServiceType `json:"type"`
 	// Models are the models that the service's engines run.
 	Models []string `json:"models,omitempty"`
-	// Calls lists a plain service's calls; one that is not listed is repeatable only if GET or HEAD.
+	// Calls are a plain service's calls. A call that is not listed is repeatable only if its method is GET or HEAD.
 	Calls []Call `json:"calls,omitempty"`
-	// TimeoutMillis bounds one call to a plain service, in milliseconds.
+	// TimeoutMillis is the time limit of one call to a plain service.
 	TimeoutMillis int64 `json:"timeoutMillis,omitempty"`
 }
 
 // Call declares one call of a plain service.
 type Call struct {
-	Method     string `json:"method"`
-	Path       string `json:"path"`
-	Repeatable bool   `json:"repeatable,omitempty"`
+	Method string `json:"method"`
+	Path   string `json:"path"`
+	// Repeatable is set if the call may run more than once.
+	Repeatable bool `json:"repeatable,omitempty"`
 }
 
 // Work declares a kind of work.
 type Work struct {
 	Name string `json:"name"`
-	// Urgent work has latency targets; other work may wait.
+	// Urgent is set for work with latency targets; other work is deferrable.
 	Urgent bool `json:"urgent,omitempty"`
-	// FirstTokenMillis is the target for the first token, in milliseconds.
+	// FirstTokenMillis is the target for the time until the first token.
 	FirstTokenMillis int64 `json:"firstTokenMillis,omitempty"`
-	// TokenGapMillis is the target for the mean time between tokens, in milliseconds.
+	// TokenGapMillis is the target for the mean time between tokens.
 	TokenGapMillis int64 `json:"tokenGapMillis,omitempty"`
-	// Worth is the value of one finished request against other kinds.
+	// Worth is the value of one finished request relative to other kinds.
 	Worth float64 `json:"worth"`
 }
 
@@ -122,21 +123,21 @@
 	Name string `json:"name"`
 	// KeySHA256 is the SHA-256 of the bearer key, in hexadecimal digits.
 	KeySHA256 string `json:"keySha256"`
-	// Work lists the kinds of work the account may ask for; the first is its default.
+	// Work lists the kinds of work that the account may request; the first is the default.
 	Work []string `json:"work"`
-	// RequestsPerSecond and Burst bound the account's requests over all daemons.
+	// RequestsPerSecond and Burst limit the account's requests to all daemons together.
 	RequestsPerSecond float64 `json:"requestsPerSecond"`
 	Burst             int     `json:"burst"`
-	// OpenDeferrable bounds the account's deferrable requests that have no answer yet.
+	// OpenDeferrable limits the number of the account's deferrable requests without an answer.
 	OpenDeferrable int `json:"openDeferrable,omitempty"`
 }
 
-// Link declares the rate between two zones, in both directions.
+// Link declares the rate between two data centres, in both directions.
 type Link struct {
 	From string `json:"from"`
 	To   string `json:"to"`
-	// MegabytesPerSecond is shared by all transfers over the link.
+	// MegabytesPerSecond is the rate that all transfers over the link share.
 	MegabytesPerSecond float64 `json:"megabytesPerSecond"`
-	// Cost weighs a transfer over the link, in milliseconds of first-token time that avoiding it is worth.
+	// Cost is the delay of the first token, in milliseconds, that is accepted to avoid a transfer over the link.
 	Cost float64 `json:"cost,omitempty"`
 }
--- a/events.go
+++ b/events.go
@@ -1,9 +1,9 @@
 package turmericwall
 
-// EventID is the number of a log event; docs/EVENTS.md is the catalogue.
+// EventID is the number of a log event. docs/EVENTS.md is the catalogue of events.
 type EventID int
 
-// The log events. A number is never used again for another meaning.
+// The log events. Operators' tools match the numbers, so a number is never reused for another event.
 const (
 	EventStarted            EventID = 1001
 	EventReady              EventID = 1002
@@ -109,7 +109,7 @@
 // String returns the event's message.
 func (e EventID) String() string { return eventNames[e] }
 
-// EventIDs returns all event numbers with their messages, for the catalogue's check.
+// EventIDs returns all event numbers with their messages. A test compares them with the catalogue.
 func EventIDs() map[EventID]string {
 	all := make(map[EventID]string, len(eventNames))
 	for id, name := range eventNames {
--- a/feeds.go
+++ b/feeds.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// ErrHistoryLost tells that changes after the version asked for are no longer kept; read all rows again.
+// ErrHistoryLost is returned if the store no longer has the changes after the requested version. All rows must be read
+// again.
 var ErrHistoryLost = errors.New("the store no longer keeps these changes; read all rows again")
 
-// FeedRow is one row of a table, or the mark that it was dropped.
+// FeedRow is one row of a table, or a record of its removal if Dropped is set.
 type FeedRow struct {
 	Key     string
 	Value   []byte
@@ -17,32 +18,34 @@
 	Dropped bool
 }
 
-// Snapshot is what one read of a table returned.
+// Snapshot is the result of one read of a table.
 type Snapshot struct {
 	Rows []FeedRow
-	// Version is the store's newest version at the read; reading goes on after it.
+	// Version is the store's newest version at the time of the read. The next read of changes starts after it.
 	Version int64
 }
 
-// Feed reads small tables and follows their changes.
+// Feed reads small tables and their changes.
 type Feed interface {
-	// Rows returns all rows of the table as of one moment.
+	// Rows returns all rows of the table as of one time.
 	Rows(ctx context.Context, table string) (Snapshot, error)
-	// Changes waits for changes after the version. It returns ErrHistoryLost when they are no longer kept.
+	// Changes returns the changes after the version and waits up to wait if there are none. It returns ErrHistoryLost
+	// if the store no longer has them.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Snapshot, error)
 }
 
-// RowWriter changes one row under a condition.
+// RowWriter writes single rows conditionally.
 type RowWriter interface {
-	// Swap writes the row if it has the version; 0 means that it must not exist. When ok is false, current is the
-	// row as it is, with version 0 when there is none. After an error the write may have happened, or may yet.
+	// Swap writes the row if it has the version ifVersion; 0 means that the row must not exist. If ok is false, current
+	// is the row in the store, with version 0 if there is none. After an error the write may have taken effect, or may
+	// still do so.
 	Swap(ctx context.Context, table, key string, ifVersion int64, value []byte) (version int64, current FeedRow, ok bool, err error)
 }
 
-// Decoder turns rows that others wrote into the router's own types.
+// Decoder decodes rows that the operator and the upstreams wrote in the platform's format.
 type Decoder interface {
 	// Plan decodes the operator's configuration.
 	Plan(value []byte) (*RoutePlan, error)
-	// Upstream decodes the entry that an upstream wrote under its id.
+	// Upstream decodes the entry that an upstream wrote under its ID.
 	Upstream(id string, value []byte) (Upstream, error)
 }
--- a/messages.go
+++ b/messages.go
@@ -10,14 +10,14 @@
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
 	Value   []byte `json:"value"`
-	// Token identifies the transaction that wrote this version.
+	// Token is that of the transaction that wrote this version.
 	Token string `json:"token"`
 }
 
 // Write is a conditional write of one row.
 type Write struct {
 	Key string `json:"key"`
-	// IfVersion is the version that the row must have; 0 means that it must not exist.
+	// IfVersion is the version that the row must have; 0 means that the row must not exist.
 	IfVersion int64  `json:"ifVersion"`
 	Value     []byte `json:"value,omitempty"`
 	Delete    bool   `json:"delete,omitempty"`
@@ -25,12 +25,13 @@
 
 // Transaction is a list of writes that take effect together.
 type Transaction struct {
-	// Token identifies the transaction, so that a lost answer can be settled by reading the rows back.
+	// Token identifies the transaction. If the answer to the commit is lost, the rows' tokens show whether it took
+	// effect.
 	Token  string  `json:"token"`
 	Writes []Write `json:"writes"`
 }
 
-// VMState tells whether a VM takes new work.
+// VMState states whether a VM accepts new calls.
 type VMState string
 
 // The states of a VM in the platform's list.
@@ -39,17 +40,19 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one entry of the platform's list.
+// VM is one entry of the platform's list of VMs.
 type VM struct {
-	Name    string  `json:"name"`
-	Service string  `json:"service"`
-	Region  string  `json:"region"`
-	Zone    string  `json:"zone"`
+	Name    string `json:"name"`
+	Service string `json:"service"`
+	Region  string `json:"region"`
+	// Zone is the data centre.
+	Zone string `json:"zone"`
+	// Address is host:port.
 	Address string  `json:"address"`
 	State   VMState `json:"state"`
 }
 
-// Role is what an engine is set up to do.
+// Role is the part of model calls that an engine serves.
 type Role string
 
 // The roles of an engine.
@@ -64,61 +67,64 @@
 	Model     string
 	Prompt    string
 	MaxTokens int
-	// Priority orders the engine's queue; a lower number goes first.
+	// Priority orders the engine's queue; lower numbers go first.
 	Priority int
 }
 
-// Export names a prefill's result that a decode engine can import.
+// Export identifies the result of a prefill that a decode engine can import.
 type Export struct {
 	Engine  string `json:"remote_engine_id"`
 	Address string `json:"remote_address"`
 	ID      string `json:"remote_block_ids"`
-	// ComputedTokens counts the prompt tokens that were not in the engine's cache.
+	// ComputedTokens is the number of prompt tokens that were not in the engine's cache.
 	ComputedTokens int `json:"computed_tokens"`
 }
 
-// Chunk is one piece of a streamed answer.
+// Chunk is one part of a streamed answer.
 type Chunk struct {
 	Attempt string
-	// Index counts the answer's tokens, from 1.
-	Index  int
-	Text   string
+	// Index is the position of the chunk's token in the answer, from 1.
+	Index int
+	Text  string
+	// Finish is the reason why the answer ended; empty except in the last chunk.
 	Finish string
 }
 
-// Report is an engine's load at one moment.
+// Report is an engine's load at one time.
 type Report struct {
 	Engine   string   `json:"engine"`
 	Role     Role     `json:"role"`
 	Models   []string `json:"models"`
 	Draining bool     `json:"draining"`
-	// AgeMillis is how old the report is, in milliseconds by the engine's own clock.
+	// AgeMillis is the age of the report in milliseconds by the engine's clock.
 	AgeMillis int64 `json:"ageMillis"`
-	// Attempts lists what the engine holds memory for.
-	Attempts   []string `json:"attempts"`
-	Slots      int      `json:"slots"`
-	Pieces     int      `json:"pieces"`
-	PiecesUsed int      `json:"piecesUsed"`
-	// QueuedTokens waits for prefill; UrgentTokens is the part of it that goes first.
+	// Attempts are the attempts that the engine holds memory for.
+	Attempts []string `json:"attempts"`
+	Slots    int      `json:"slots"`
+	// Pieces is the engine's memory and PiecesUsed its used part, in units of 4,096 tokens.
+	Pieces     int `json:"pieces"`
+	PiecesUsed int `json:"piecesUsed"`
+	// QueuedTokens are the prompt tokens that wait for prefill, UrgentTokens those of urgent work, which go first.
 	QueuedTokens int `json:"queuedTokens"`
 	UrgentTokens int `json:"urgentTokens"`
-	// PrefillRate is in prompt tokens a second.
+	// PrefillRate is in prompt tokens per second.
 	PrefillRate float64 `json:"prefillRate"`
-	// StepMillis and StepPerSlotMillis give the time between tokens: base plus a share for each busy slot.
+	// The time between two tokens of an answer is StepMillis plus StepPerSlotMillis for each busy slot.
 	StepMillis        float64 `json:"stepMillis"`
 	StepPerSlotMillis float64 `json:"stepPerSlotMillis"`
 }
 
-// CacheEvents is a run of an engine's prefix-cache events.
+// CacheEvents is a list of consecutive prefix-cache events of one engine.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent tells that a block entered or left an engine's prefix cache.
+// CacheEvent reports that a block was added to an engine's prefix cache or removed from it.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	Block    uint64 `json:"block"`
-	Removed  bool   `json:"removed,omitempty"`
+	// Block is the chained hash of the block.
+	Block   uint64 `json:"block"`
+	Removed bool   `json:"removed,omitempty"`
 }
 
 // Request is one accepted request for a completion.
@@ -130,11 +136,11 @@
 	Service   string
 	Prompt    string
 	MaxTokens int
-	// FirstTokenDeadline is when the first token is due; zero for deferrable work.
+	// FirstTokenDeadline is the target time of the first token; zero for deferrable work.
 	FirstTokenDeadline time.Time
 }
 
-// Usage counts one request's tokens.
+// Usage is the number of tokens of one request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -149,12 +155,12 @@
 	Query   string
 	Header  http.Header
 	Body    []byte
-	// Repeatable calls may be sent to a second upstream.
+	// Repeatable is set if the call may be sent to a second upstream after it may have run at the first.
 	Repeatable bool
 	Deadline   time.Time
 }
 
-// AttemptState tells how far an attempt of a non-idempotent call got.
+// AttemptState states how far an attempt of a non-idempotent call got.
 type AttemptState string
 
 // The states of an attempt.
@@ -163,8 +169,8 @@
 	AttemptSealed AttemptState = "sealed"
 	// AttemptRunning may have been sent.
 	AttemptRunning AttemptState = "running"
-	// AttemptDone has its answer recorded.
+	// AttemptDone has a recorded answer.
 	AttemptDone AttemptState = "done"
-	// AttemptUnknown is what an owner says that doesn't know the attempt, or that can't be asked.
+	// AttemptUnknown means that the owner does not know the attempt or can't be reached.
 	AttemptUnknown AttemptState = "unknown"
 )
--- a/peering.go
+++ b/peering.go
@@ -2,163 +2,180 @@
 
 import "context"
 
-// Heartbeat is what the leader tells each daemon several times a second.
+// Heartbeat is the message that the leader sends to each daemon several times a second. Ages are in milliseconds at the
+// time of sending.
 type Heartbeat struct {
 	Leader Member `json:"leader"`
-	// Term grows with each leader.
+	// Term increases with each new leader.
 	Term int64 `json:"term"`
 	// Daemons is the number of live daemons.
 	Daemons     int   `json:"daemons"`
 	PlanVersion int64 `json:"planVersion"`
-	// UpstreamsPosition is how far the leader's view of upstreams has come.
+	// UpstreamsPosition is the position of the leader's view of upstreams; it increases with each change of the view.
 	UpstreamsPosition int64 `json:"upstreamsPosition"`
-	// StoreMillis is how long ago the leader asked the store for the last answer that it got.
+	// StoreMillis is the age of the leader's state: the time since the store was queried for it, by the leader or by
+	// the peer that sent it.
 	StoreMillis int64 `json:"storeMillis"`
-	// ProofMillis is the age of the proof that PlanVersion is in force; negative when there is none.
+	// ProofMillis is the age of the proof that PlanVersion is in force; negative if there is none.
 	ProofMillis int64 `json:"proofMillis"`
-	// Echo is the receiver's own, from its last reply.
+	// Echo returns the receiver's own Moment from its last reply.
 	Echo Echo `json:"echo"`
-	// LeaseVersion is the version that the leader last gave the lease's row.
+	// LeaseVersion is the version of the lease's row after the leader's last write.
 	LeaseVersion int64 `json:"leaseVersion"`
-	// Successor is the daemon that a stopping leader asks to take the lease; its name is empty else.
+	// Successor is the daemon that should take the lease because the leader stops or can't renew the lease; its name is
+	// empty otherwise.
 	Successor Member `json:"successor"`
-	// Standbys read the store beside the leader, and one of them takes the lease when the leader ends.
+	// Standbys are the daemons that read the store besides the leader. One of them takes the lease when the leader
+	// terminates.
 	Standbys []Member `json:"standbys,omitempty"`
-	// MembersVersion counts the changes of the leader's list of members.
+	// MembersVersion is the number of changes of the leader's list of members.
 	MembersVersion int64 `json:"membersVersion"`
-	// Changing are the engines that change their role by the leader's orders.
+	// Changing are the engines that are changing role by the leader's orders.
 	Changing []ChangingEngine `json:"changing,omitempty"`
-	// Levels are the client accounts that have used a good part of their quotas.
+	// Levels are those of the client accounts that have little of their quota left.
 	Levels []AccountLevel `json:"levels,omitempty"`
-	// Rates are those that upstreams state, and those lifted lately.
+	// Rates are the rates that upstreams state, and those lifted within the last five seconds.
 	Rates []UpstreamRate `json:"rates,omitempty"`
-	// Leaving are the upstreams that announced their end in answers.
+	// Leaving are the upstreams that announced in an answer that they leave.
 	Leaving []UpstreamKey `json:"leaving,omitempty"`
-	// Rank is the receiver's place among Daemons, from 0 on; no two have the same.
+	// Rank is the receiver's position among Daemons, from 0; no two daemons have the same.
 	Rank int `json:"rank,omitempty"`
 }
 
-// Echo is a moment of one daemon by its own clock, which a peer hands back.
+// Echo is a time by one daemon's own clock that a peer returns to it. It dates the peer's message without a comparison
+// of two VMs' clocks.
 type Echo struct {
-	// Incarnation is the daemon's.
+	// Incarnation is that of the daemon whose clock it is.
 	Incarnation string `json:"incarnation,omitempty"`
-	// Moment is in nanoseconds since the start of the daemon's VM.
+	// Moment is the time since the boot of the daemon's VM in nanoseconds.
 	Moment int64 `json:"moment,omitempty"`
 }
 
-// ChangingEngine is an engine that is away until it has its new role.
+// ChangingEngine is an engine that accepts no calls until it has its new role.
 type ChangingEngine struct {
-	ID   string `json:"id"`
-	Role Role   `json:"role"`
-	// LeftMillis is how long the change may still last.
+	ID string `json:"id"`
+	// Role is the new role.
+	Role Role `json:"role"`
+	// LeftMillis is the longest remaining time of the change.
 	LeftMillis int64 `json:"leftMillis"`
 }
 
-// HeartbeatReply is what a daemon answers to a heartbeat.
+// HeartbeatReply is a daemon's reply to a heartbeat.
 type HeartbeatReply struct {
 	Member
-	// UpMillis is how long ago the daemon started.
+	// UpMillis is the time since the daemon's start.
 	UpMillis int64 `json:"upMillis"`
 	// LinkMegabits is the rate of the daemon's network link in Mbit/s.
 	LinkMegabits float64 `json:"linkMegabits"`
 	Zone         string  `json:"zone"`
-	// Stopping tells that the daemon was told to stop.
+	// Stopping is set after the daemon's stop signal.
 	Stopping bool `json:"stopping,omitempty"`
-	// PlanVersion and UpstreamsPosition are how much the daemon knows.
+	// PlanVersion and UpstreamsPosition are those of the daemon's own state.
 	PlanVersion       int64 `json:"planVersion"`
 	UpstreamsPosition int64 `json:"upstreamsPosition"`
-	// ReadMillis is how long ago the daemon itself asked the store for the last answer that it got; negative when it
-	// does not read the store.
+	// ReadMillis is the time since the daemon itself sent its last answered read to the store; negative before the
+	// first one.
 	ReadMillis int64 `json:"readMillis"`
-	// ProofMillis is the age of the proof that PlanVersion is in force; negative when there is none.
+	// ProofMillis is the age of the proof that PlanVersion is in force; negative if there is none.
 	ProofMillis int64 `json:"proofMillis"`
-	// Moment is when the daemon replied, by its own clock, for the next heartbeat's echo.
+	// Moment is the time of the reply for the Echo of the next heartbeat, in nanoseconds since the boot of the daemon's
+	// VM.
 	Moment int64 `json:"moment"`
-	// Uses is what the daemon counted of client accounts' calls by itself.
+	// Uses is what the daemon itself charged to client accounts.
 	Uses []AccountUse `json:"uses,omitempty"`
-	// Rates are those that the daemon received lately from upstreams itself.
+	// Rates are the rates that the daemon itself received from upstreams within the last five seconds.
 	Rates []UpstreamRate `json:"rates,omitempty"`
-	// Leaving are the upstreams of which the daemon knows that they announced their end in answers.
+	// Leaving are the upstreams that announced in an answer to this daemon or to a peer that they leave.
 	Leaving []UpstreamKey `json:"leaving,omitempty"`
 }
 
 // Member is one incarnation of a daemon.
 type Member struct {
 	Name string `json:"name"`
-	// Address is where it serves its peers.
+	// Address is the host:port at which the daemon serves its peers.
 	Address string `json:"address"`
-	// Incarnation is drawn anew at each start.
+	// Incarnation is a new random ID at each start.
 	Incarnation string `json:"incarnation"`
 }
 
-// StateAsk says what the asking daemon knows already.
+// StateAsk requests newer state from a peer. It states what the requesting daemon has already.
 type StateAsk struct {
 	PlanVersion       int64 `json:"planVersion"`
 	UpstreamsPosition int64 `json:"upstreamsPosition"`
-	// Joining is the asking daemon, for a leader that does not know it yet.
+	// Joining is the requesting daemon, so that a leader that does not know it yet adds it to its members.
 	Joining *HeartbeatReply `json:"joining,omitempty"`
-	// WantMembers asks for the list of members too.
+	// WantMembers requests the list of members too.
 	WantMembers bool `json:"wantMembers,omitempty"`
 }
 
-// SharedState is what a daemon that does not read the store itself learns from a peer.
+// SharedState is the state that a peer sends to a daemon that does not read the store itself.
 type SharedState struct {
+	// Plan is nil if the requesting daemon has the newest one that the peer has.
 	Plan *RoutePlan `json:"plan,omitempty"`
-	// Partial tells that Upstreams and Removed are the changes since the position asked for, and not all.
+	// Partial is set if Upstreams and Removed are the changes since the requested position. Otherwise Upstreams are all
+	// upstreams.
 	Partial           bool       `json:"partial,omitempty"`
 	Upstreams         []Upstream `json:"upstreams,omitempty"`
 	Removed           []string   `json:"removed,omitempty"`
 	UpstreamsPosition int64      `json:"upstreamsPosition"`
-	// Leader is the live leader that the answering daemon hears; its name is empty when it hears none.
+	// Leader is the leader that is live for the answering daemon; its name is empty if there is none.
 	Leader Member `json:"leader"`
 	// LeaseVersion and LeaseHolder are the lease's row as the answering daemon last saw it.
 	LeaseVersion int64  `json:"leaseVersion,omitempty"`
 	LeaseHolder  Member `json:"leaseHolder"`
-	// Standbys are those of that leader.
+	// Standbys are those in the leader's last heartbeat.
 	Standbys []Member `json:"standbys,omitempty"`
-	// FreshMillis is how long ago the store was asked for this state; negative when that is unknown.
+	// FreshMillis is the time since the store was queried for this state; negative if it is unknown.
 	FreshMillis int64 `json:"freshMillis"`
-	// ProofMillis is the age of the proof that the answering daemon's plan is in force; negative when there is none.
+	// ProofMillis is the age of the proof that the answering daemon's plan is in force; negative if there is none.
 	ProofMillis int64 `json:"proofMillis"`
-	// Members are the addresses that the answering daemon knows, as of MembersVersion.
+	// Members are the addresses in the answering daemon's list of members, as of MembersVersion.
 	Members        []string `json:"members,omitempty"`
 	MembersVersion int64    `json:"membersVersion,omitempty"`
 }
 
-// PlacedRun is a placed call that a daemon tells a new leader of.
+// PlacedRun is a placed call that a daemon reports to a new leader, which did not place it itself.
 type PlacedRun struct {
 	Ask PlaceAsk
-	// Engine is the decode engine's id.
+	// Engine is the ID of the decode engine.
 	Engine string
-	// AgeMillis have passed since the answer began; negative while the prompt is read.
+	// AgeMillis is the time since the first event of the answer; negative while the prompt is prefilled.
 	AgeMillis int64
 }
 
-// AdmitAsk asks the daemon that counts for all for sends to an upstream that states a rate.
+// AdmitAsk requests sends to an upstream that states a rate from the rate coordinator, the daemon that counts the sends
+// of all daemons.
 type AdmitAsk struct {
-	// Rate is the statement as the asking daemon knows it.
+	// Rate is the newest statement that the requesting daemon has.
 	Rate UpstreamRate `json:"rate"`
-	// Count is how many sends are asked for.
+	// Count is the number of requested sends.
 	Count int `json:"count"`
 }
 
-// AdmitReply is the answer to an AdmitAsk.
+// AdmitReply is the reply to an AdmitAsk.
 type AdmitReply struct {
-	// Declined tells that the answering daemon doesn't count for all.
+	// Declined is set if the answering daemon is not the rate coordinator.
 	Declined bool `json:"declined,omitempty"`
-	// Granted is how many sends may be made at once.
+	// Granted is the number of sends that may be made at once.
 	Granted int `json:"granted,omitempty"`
-	// NextMillis is when the asking daemon may ask again after it was granted none, RetryMillis when the caller may come back.
+	// If no sends are granted, NextMillis is the time until the daemon may make its next request, and RetryMillis the
+	// time until the caller may retry.
 	NextMillis  int64 `json:"nextMillis,omitempty"`
 	RetryMillis int64 `json:"retryMillis,omitempty"`
 }
 
-// PeerClient calls one other daemon.
+// PeerClient calls other daemons at their addresses (host:port).
 type PeerClient interface {
+	// Heartbeat sends a heartbeat and returns the daemon's reply.
 	Heartbeat(ctx context.Context, address string, heartbeat Heartbeat) (HeartbeatReply, error)
+	// State requests newer state.
 	State(ctx context.Context, address string, ask StateAsk) (SharedState, error)
+	// Place requests a placement from the leader. The error is a *Problem if the leader refused the call.
 	Place(ctx context.Context, address string, ask PlaceAsk) (Placement, error)
+	// Finish reports the progress and the end of placed calls to the leader.
 	Finish(ctx context.Context, address string, ends []PlacementEnd) error
+	// Runs reports this daemon's placed calls to a new leader.
 	Runs(ctx context.Context, address string, runs []PlacedRun) error
+	// Admit requests sends to an upstream from the rate coordinator.
 	Admit(ctx context.Context, address string, ask AdmitAsk) (AdmitReply, error)
 }
--- a/placements.go
+++ b/placements.go
@@ -5,106 +5,111 @@
 	"time"
 )
 
-// PlaceAsk asks for engine memory and a slot for one model call.
+// PlaceAsk requests engine memory and a slot for one model call.
 type PlaceAsk struct {
-	// ID is the call's id with the number of the try.
+	// ID is the call's ID with the number of the placement attempt.
 	ID      string
 	Service string
 	// Owner is the daemon that serves the caller.
 	Owner string
 	Zone  string
 	Work  ModelWork
-	// Account is the client account whose quota the call is taken from, and Units what it counts as.
+	// Account is the client account whose quota is charged for the call, and Units the charge.
 	Account string
 	Units   float64
-	// Priority is the call's rank; 0 goes first.
+	// Priority orders the waiting calls; 0 goes first.
 	Priority int
-	// TargetDeadline is when the first event is due to be on time; a call that came back may have missed it.
+	// TargetDeadline is when the first event of the answer must arrive to be on time. It may have passed for a retry.
 	TargetDeadline time.Time
-	// GiveUpDeadline is when waiting must end with a refusal.
+	// GiveUpDeadline is when a call that still waits is refused.
 	GiveUpDeadline time.Time
-	// CallerDeadline is when the caller leaves. It is the same for all attempts of one caller.
+	// CallerDeadline is when the caller stops waiting. It is the same for all attempts of one caller.
 	CallerDeadline time.Time
-	// EventGapMillis is the longest pause between two events of a stream that is still on time; 0 sets none.
+	// EventGapMillis is the longest time between two events of a stream that is on time; 0 means no limit.
 	EventGapMillis int64
-	// Moving asks for a decode place alone, for a run whose engine is leaving.
+	// Moving is set for a run whose engine is leaving: its prompt has been prefilled, so only a decode engine is
+	// requested.
 	Moving bool
-	// Avoid names engines that failed this call.
+	// Avoid are the IDs of engines that failed this call.
 	Avoid []string
 }
 
-// Placement says which engines serve one model call.
+// Placement states which engines serve one model call.
 type Placement struct {
 	ID     string
 	Decode Upstream
-	// Prefill reads the prompt; its ID is empty when the decode engine does so itself.
+	// Prefill is the prefill engine; its ID is empty for a local prefill by the decode engine.
 	Prefill Upstream
-	// ReserveTokens is the memory to reserve at the decode engine.
+	// ReserveTokens is the memory to reserve at the decode engine, in tokens.
 	ReserveTokens int
-	// ReadDeadline is when the prompt is expected to be read.
+	// ReadDeadline is when the prefill is expected to end.
 	ReadDeadline time.Time
-	// Late tells that the first event can't be on time any more.
+	// Late is set if the first event can't be on time any more.
 	Late bool
-	// Reason says in a few words what decided.
+	// Reason states in a few words what decided the choice of engines.
 	Reason string
 }
 
-// PlacementEnd tells how a placement ended.
+// PlacementEnd reports the progress of a placed call while Running is set, and its end otherwise. Daemons send it to
+// the leader as JSON; the tags are the names of the fields there.
 type PlacementEnd struct {
-	ID      string
-	Service string
-	// Full names the engine that refused the reservation or the call for want of memory.
-	Full string
-	// Failed names the engine that failed the call.
-	Failed string
-	// Doubted names an engine that may have failed the call, if another one did not.
-	Doubted string
-	// NotRun tells that no engine ran the call, so that it counts for no quota.
-	NotRun bool
-	// Running tells that the call goes on.
-	Running bool
-	// PromptRead tells that the prompt was read, PromptMillis how long that took.
-	PromptRead   bool
-	PromptMillis int64
-	// AnswerTokens were made in AnswerMillis since the first event.
-	AnswerTokens int
-	AnswerMillis int64
-	// Paused tells that the stream paused longer between two events than is on time.
-	Paused bool
+	ID      string `json:"ID"`
+	Service string `json:"Service"`
+	// Full is the ID of the engine that refused the reservation or the call because its memory is full.
+	Full string `json:"Full"`
+	// Failed is the ID of the engine that failed the call.
+	Failed string `json:"Failed"`
+	// Doubted is the ID of an engine that is suspected to have failed the call, if the engine in Full did not.
+	Doubted string `json:"Doubted"`
+	// NotRun is set if no engine ran the call, so that its charge is refunded.
+	NotRun bool `json:"NotRun"`
+	// Running is set if the call continues.
+	Running bool `json:"Running"`
+	// PromptRead is set if the prefill has ended; PromptMillis is its duration.
+	PromptRead   bool  `json:"PromptRead"`
+	PromptMillis int64 `json:"PromptMillis"`
+	// AnswerTokens is the number of tokens that were decoded in the AnswerMillis since the first event.
+	AnswerTokens int   `json:"AnswerTokens"`
+	AnswerMillis int64 `json:"AnswerMillis"`
+	// Paused is set if the time between two events of the stream exceeded EventGapMillis of the request.
+	Paused bool `json:"Paused"`
 }
 
-// CallCost is what one model call takes of the engines in the mean, in milliseconds of a whole engine.
+// CallCost is the mean engine time that one model call takes, in milliseconds of an engine that does nothing else.
 type CallCost struct {
-	// ReadMillis is what reading the prompt takes of an engine that reads.
+	// ReadMillis is the time of a prefill engine.
 	ReadMillis float64
-	// AnswerMillis is what the answer takes of an engine that answers: the larger of its parts of the memory and of the
-	// slots, times how long it holds them.
+	// AnswerMillis is the time of a decode engine: the larger of the call's shares of the engine's memory and of its
+	// slots, times how long the call holds them.
 	AnswerMillis float64
 }
 
-// EngineNeed is what the calls of a service ask of its engines.
+// EngineNeed is the demand of a service's calls for its engines. The leader divides the engines between the roles by
+// it.
 type EngineNeed struct {
-	// Busy tells that calls are under way.
+	// Busy is set while calls are placed or waiting.
 	Busy bool
-	// Readers and Answerers are the engines of each role.
+	// Readers is about the prefill engines, Answerers about the decode engines.
 	Readers, Answerers RoleNeed
-	// Cost is what a call takes; Known is false while too few calls came to say.
+	// Cost is the mean cost of a call. Known is false while too few calls have been measured.
 	Cost  CallCost
 	Known bool
 }
 
-// RoleNeed tells how the engines of one role suffice.
+// RoleNeed states whether the engines of one role suffice for the calls.
 type RoleNeed struct {
-	// Short tells that calls find none in time, for longer than a burst.
+	// Short is set during a shortage: for longer than a burst, calls find no engine of the role in time.
 	Short bool
-	// Spare tells that an engine can be given to the other role.
+	// Spare is set during a surplus: an engine can change to the other role.
 	Spare bool
 }
 
-// EnginePlacer decides where model calls run.
+// EnginePlacer decides on which engines model calls run, before anything is sent to an engine.
 type EnginePlacer interface {
-	// Place blocks until the call is placed, or refused with a *Problem that says when to come back.
+	// Place blocks until the call is placed, refused or ctx ends. The error is a *Problem; that of a refusal has a
+	// retry time.
 	Place(ctx context.Context, ask PlaceAsk) (Placement, error)
-	// Finish frees what Place took; it never blocks.
+	// Finish applies a report on a placed call, and releases the call's memory and slot unless Running is set. It never
+	// blocks.
 	Finish(end PlacementEnd)
 }
--- a/problem.go
+++ b/problem.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Kind is a machine-readable kind of problem.
+// Kind is the machine-readable kind of a Problem.
 type Kind string
 
 // The kinds of problem that callers and operators see.
@@ -31,10 +31,10 @@
 	KindConflict         Kind = "conflict"
 )
 
-// Outcome tells a caller whether its request had an effect.
+// Outcome states whether a failed request may have had an effect.
 type Outcome string
 
-// The outcomes of a request that has no answer.
+// The outcomes of a request without an answer.
 const (
 	// OutcomeNotRun is final: the request did not run and never will.
 	OutcomeNotRun Outcome = "notRun"
@@ -42,7 +42,8 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Problem is an error with a remedy.
+// Problem is an error that callers, operators and peers receive, with its kind, a remedy, the outcome of the request
+// and the time for a retry. It is immutable; the With methods return copies.
 type Problem struct {
 	kind    Kind
 	detail  string
@@ -52,12 +53,12 @@
 	cause   error
 }
 
-// NewProblem returns a problem whose request did not run.
+// NewProblem returns a problem with the outcome OutcomeNotRun.
 func NewProblem(kind Kind, detail, remedy string) *Problem {
 	return &Problem{kind: kind, detail: detail, remedy: remedy, outcome: OutcomeNotRun}
 }
 
-// Refused returns the problem of an attempt that a leader turned away.
+// Refused returns the problem of an attempt that a leader refused.
 func Refused(r Refusal) *Problem {
 	if r.Never {
 		return NewProblem(KindTooLarge, r.Reason, "shorten the prompt or ask for fewer tokens")
@@ -72,7 +73,7 @@
 	return &c
 }
 
-// WithRetryAt returns a copy that tells the caller when to come back.
+// WithRetryAt returns a copy with the time at which the caller may retry.
 func (p *Problem) WithRetryAt(at time.Time) *Problem {
 	c := *p
 	c.retryAt = at
@@ -89,19 +90,19 @@
 // Kind returns the machine-readable kind.
 func (p *Problem) Kind() Kind { return p.kind }
 
-// Detail says what went wrong.
+// Detail returns what failed.
 func (p *Problem) Detail() string { return p.detail }
 
-// Remedy says what to do about it.
+// Remedy returns what to do about the problem.
 func (p *Problem) Remedy() string { return p.remedy }
 
-// Outcome tells whether the request may have run.
+// Outcome returns whether the request may have run.
 func (p *Problem) Outcome() Outcome { return p.outcome }
 
-// RetryAt returns when to come back; zero when coming back does not help.
+// RetryAt returns when to retry; zero if a retry does not help.
 func (p *Problem) RetryAt() time.Time { return p.retryAt }
 
-// Error names the detail and the remedy.
+// Error returns the kind, the detail, the remedy and the cause.
 func (p *Problem) Error() string {
 	if p.cause != nil {
 		return fmt.Sprintf("%s: %s; %s: %v", p.kind, p.detail, p.remedy, p.cause)
@@ -112,13 +113,13 @@
 // Unwrap returns the cause.
 func (p *Problem) Unwrap() error { return p.cause }
 
-// IsKind tells whether the error is a problem of the kind.
+// IsKind reports whether err is or wraps a problem of the kind.
 func IsKind(err error, kind Kind) bool {
 	var p *Problem
 	return errors.As(err, &p) && p.kind == kind
 }
 
-// ConflictError tells that a conditional write found another version.
+// ConflictError is the error of a conditional write whose row has another version.
 type ConflictError struct {
 	key string
 }
@@ -134,7 +135,7 @@
 	return fmt.Sprintf("row %q has another version; read it again and decide anew", e.key)
 }
 
-// IsConflict tells whether the error is a conditional write that found another version.
+// IsConflict reports whether err is or wraps a ConflictError.
 func IsConflict(err error) bool {
 	var c *ConflictError
 	return errors.As(err, &c)
@@ -147,29 +148,29 @@
 	cause  error
 }
 
-// EngineReason says why a call to an engine failed.
+// EngineReason states why a call to an engine failed.
 type EngineReason string
 
 // The reasons of a failed call to an engine.
 const (
-	// EngineFull refused the attempt: no slot or memory.
+	// EngineFull means that the engine refused the attempt for lack of a slot or of memory.
 	EngineFull EngineReason = "full"
-	// EngineExportGone could not import: the export was evicted.
+	// EngineExportGone means that the engine could not import the export because it was evicted.
 	EngineExportGone EngineReason = "exportGone"
-	// EngineTransferFailed could not import, while the export may still be there.
+	// EngineTransferFailed means that the import failed and the export may still exist.
 	EngineTransferFailed EngineReason = "transferFailed"
-	// EngineUnreachable gave no answer, or broke it off.
+	// EngineUnreachable means that the engine did not answer or that its answer was cut short.
 	EngineUnreachable EngineReason = "unreachable"
-	// EngineRefused answered that the call is wrong.
+	// EngineRefused means that the engine rejected the call as invalid.
 	EngineRefused EngineReason = "refused"
 )
 
-// NewEngineError returns the failure of a call to the engine.
+// NewEngineError returns the error of a failed call to the engine.
 func NewEngineError(engine string, reason EngineReason, cause error) *EngineError {
 	return &EngineError{engine: engine, reason: reason, cause: cause}
 }
 
-// Reason says why the call failed.
+// Reason returns why the call failed.
 func (e *EngineError) Reason() EngineReason { return e.reason }
 
 // Error names the engine and the reason.
--- a/turmericwall.go
+++ b/turmericwall.go
@@ -1,4 +1,7 @@
-// Package turmericwall holds the interfaces between the router's slices and the messages they exchange.
+// Package turmericwall holds the interfaces, messages and errors that the router's other packages share. A request
+// passes through them in this order: authentication and quota, placement on engines or choice of an upstream, sending,
+// and delivery of the answer. The package has no logic beyond small methods on the messages, and depends on no other
+// package of the router.
 package turmericwall
 
 import (
@@ -8,14 +11,15 @@
 )
 
 // Table is the platform's transactional table service.
-// Every method returns a *Problem of kind KindStoreUnavailable when the service can't be reached.
+// Every method returns a *Problem of kind KindStoreUnavailable if the service can't be reached.
 type Table interface {
-	// Get returns the row, or ok=false when there is none.
+	// Get returns the row; ok is false if there is none.
 	Get(ctx context.Context, key string) (row Row, ok bool, err error)
 	// List returns at most limit rows whose key starts with prefix and sorts after the key after.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies all writes or none. A write whose condition fails gives a *ConflictError.
-	// An answer lost after the writes took effect is settled by the transaction's token.
+	// Commit applies all writes or none. It returns a *ConflictError if a write's condition fails. If the answer is
+	// lost, the rows are read back and their tokens compared with the transaction's, so that writes that took effect
+	// are not reported as failed.
 	Commit(ctx context.Context, transaction Transaction) error
 }
 
@@ -23,124 +27,132 @@
 type ObjectStore interface {
 	// Put stores the object unless the name exists; an existing object with the same bytes is no error.
 	Put(ctx context.Context, name string, content []byte) error
-	// Get returns the object's bytes, or ok=false when there is none.
+	// Get returns the object's bytes; ok is false if there is none.
 	Get(ctx context.Context, name string) (content []byte, ok bool, err error)
 }
 
-// VMLister reads the platform's lagging list of live and leaving VMs.
+// VMLister reads the platform's list of live and leaving VMs, which lags behind the actual state.
 type VMLister interface {
 	List(ctx context.Context) ([]VM, error)
 }
 
-// Writer commits small sets of writes, alone or grouped with others.
+// Writer commits small sets of writes. It may combine the sets of concurrent callers into one transaction.
 type Writer interface {
-	// Write returns nil only when all the writes are durable; they take effect together or not at all.
-	// Each write raises its row's version by one.
+	// Write returns nil only if all writes are durable; they take effect together or not at all. Each write increments
+	// its row's version by one.
 	Write(ctx context.Context, writes ...Write) error
 }
 
-// Engine is one upstream model engine, in the role of prefill, decode or both.
+// Engine is the client of one model engine, which does prefill, decode or both.
 type Engine interface {
-	// Prefill computes the prompt's KV cache and exports it; the export is evicted within a second.
+	// Prefill computes the prompt's KV cache and exports it. The engine evicts the export within a second.
 	Prefill(ctx context.Context, call EngineCall) (Export, error)
-	// Decode imports the export and hands each chunk to the sink in the order of arrival.
+	// Decode imports the export and passes each chunk of the answer to sink in the order of arrival.
 	Decode(ctx context.Context, call EngineCall, export Export, sink func(Chunk) error) error
-	// Cancel frees what the engine holds for the attempt; an unknown attempt is no error.
+	// Cancel frees the memory and slot that the engine holds for the attempt; an unknown attempt is no error.
 	Cancel(ctx context.Context, attempt string) error
-	// Report returns the engine's last load report, on a new connection when fresh is set.
+	// Report returns the engine's last load report, over a new connection if fresh is set.
 	Report(ctx context.Context, fresh bool) (Report, error)
-	// Events returns the cache events after the sequence number.
+	// Events returns the prefix-cache events after the sequence number.
 	Events(ctx context.Context, after uint64) (CacheEvents, error)
 }
 
-// Engines gives the client of an engine by its address (host:port).
+// Engines returns the client of an engine by the engine's address (host:port).
 type Engines interface {
 	Engine(address string) Engine
 }
 
-// Placer decides where a request's prefill and decode run.
+// Placer decides on which engines an attempt's prefill and decode run.
 type Placer interface {
-	// Place blocks until the request is granted a pair, or refused with a *Problem.
+	// Place blocks until the attempt is granted a prefill and a decode engine, or refused with a *Problem.
 	Place(ctx context.Context, arrival Arrival) (Grant, error)
-	// Finish reports how an attempt ended, so that its reservation is released.
+	// Finish reports how an attempt ended, which releases its reservation.
 	Finish(ending Ending)
 }
 
-// AttemptOwner tells how far this daemon's own attempts of non-idempotent calls got.
+// AttemptOwner tracks the state of this daemon's own attempts of non-idempotent calls.
 type AttemptOwner interface {
-	// State seals an attempt that was not sent, so that its answer stays true.
+	// State returns how far the attempt got. An attempt that is not sent yet counts as running unless it is sealed,
+	// because it may be sent at any time.
 	State(attempt string) AttemptState
 }
 
-// AttemptHolder tells which attempts this daemon still wants engine memory for.
+// AttemptHolder tracks for which attempts this daemon still needs engine memory.
 type AttemptHolder interface {
+	// Wanted returns those of the attempts that a request on this daemon still waits for.
 	Wanted(attempts []string) []string
 }
 
-// Policy is a placement decision machine: events in, actions out, the same for the same input.
-// It has no clock, socket or goroutine of its own, and its state is bounded.
+// Policy decides on placements as a deterministic state machine: equal events give equal actions. It has no clock,
+// socket or goroutine of its own, and the size of its state is bounded.
 type Policy interface {
+	// Step applies one event and returns the resulting actions, which are valid until the next call.
 	Step(now time.Time, event Event) []Action
 }
 
-// Canceller frees engine memory that no request wants any more.
+// Canceller frees engine memory that no request needs any more.
 type Canceller interface {
-	// Cancel returns at once; the cancel is repeated until the engine's report no longer lists the attempt.
+	// Cancel returns without waiting. The cancel is repeated until the engine has answered it and its load report no
+	// longer lists the attempt, because a cancel can be lost or overtake the start of the attempt.
 	Cancel(vm VM, attempt string)
 }
 
-// Sink receives one request's answer, token by token, each exactly once and in order.
+// Sink receives the tokens of one request's answer, each exactly once and in order.
 type Sink interface {
 	Token(text string) error
 }
 
-// Deliverer runs one request through prefill, transfer and decode until its answer is whole.
+// Deliverer runs one request through prefill, transfer and decode until its answer is complete, and retries failed
+// attempts.
 type Deliverer interface {
-	// Deliver returns nil only when the sink has the whole answer.
+	// Deliver returns nil only if the sink received the complete answer.
 	Deliver(ctx context.Context, request Request, sink Sink) (Usage, error)
 }
 
 // Forwarder sends a call to an upstream of a plain service.
 type Forwarder interface {
-	// Forward calls beforeSend once the connection stands and before the first byte is written;
-	// when beforeSend fails nothing is sent.
+	// Forward calls beforeSend when the connection is established and before the first byte is written. If beforeSend
+	// fails, nothing is sent.
 	Forward(ctx context.Context, call ServiceCall, beforeSend func() error) (*http.Response, error)
 }
 
-// Peers reaches the other daemons.
+// Peers sends requests to the other daemons and tracks which of them are live.
 type Peers interface {
-	// Inquire asks the daemon that owns the attempt how far it got.
+	// Inquire queries how far the attempt got from the daemon that owns it.
 	Inquire(ctx context.Context, owner, attempt string) (AttemptState, error)
-	// Hold asks the daemon which of its attempts it still wants.
+	// Hold queries which of its attempts the daemon still needs engine memory for.
 	Hold(ctx context.Context, owner string, attempts []string) (wanted []string, err error)
-	// Place asks the daemon, as leader, for a place.
+	// Place requests a placement from the leader.
 	Place(ctx context.Context, leader string, arrival Arrival) (Grant, error)
-	// Finish tells the leader how attempts ended.
+	// Finish reports to the leader how attempts ended.
 	Finish(ctx context.Context, leader string, endings []Ending) error
-	// Live tells whether the daemon's incarnation counts as live here.
+	// Live reports whether this daemon counts the incarnation as live.
 	Live(incarnation string) bool
-	// Isolated tells that most of the listed daemons are out of this one's reach.
+	// Isolated reports whether fewer than half of the listed daemons are reachable, so that this daemon is probably the
+	// partitioned one.
 	Isolated() bool
-	// Leaders returns the incarnations of the live daemons that take duties, this one included.
+	// Leaders returns the incarnations of the live daemons that may lead services, sorted, this one included unless it
+	// is draining.
 	Leaders() []string
 	// Self returns this daemon's incarnation.
 	Self() string
 }
 
-// Fleet is the view of the upstreams' VMs.
+// Fleet is this daemon's view of the upstreams' VMs.
 type Fleet interface {
-	// Upstreams returns the service's VMs; leaving ones are included and marked.
+	// Upstreams returns the service's VMs, including leaving ones, whose State is VMLeaving.
 	Upstreams(service string) []VM
 }
 
-// Documents gives the configuration in force.
+// Documents provides the configuration in force.
 type Documents interface {
-	// Current returns ok=false while no revision is known.
+	// Current returns the document in force; ok is false while no revision is known.
 	Current() (document *Document, ok bool)
 }
 
 // Recorder writes numbered log events.
 type Recorder interface {
+	// Record returns a new entry for the event; nothing is written before its Send.
 	Record(event EventID) LogEntry
 }
 
--- a/upstreams.go
+++ b/upstreams.go
@@ -7,167 +7,173 @@
 	"time"
 )
 
-// Step is the part of a model call that one engine is asked for.
+// Step is the part of a model call that is requested from a decode engine.
 type Step string
 
 // The steps of a model call.
 const (
-	// StepWhole asks for the answer, the prompt being read by the same engine.
+	// StepWhole requests a local prefill and the answer.
 	StepWhole Step = ""
-	// StepImport asks for the answer from a prefill that another engine exported.
+	// StepImport requests the answer after the import of a prefill that another engine exported.
 	StepImport Step = "import"
 )
 
 // Outgoing is one send of a call to one upstream.
 type Outgoing struct {
 	Call RoutedCall
-	// Deadline is when the upstream may stop working.
+	// Deadline is when the upstream may stop working on the call.
 	Deadline time.Time
 	Step     Step
-	// Export names the prefill to import.
+	// Export identifies the prefill to import.
 	Export EngineExport
-	// Reservation is what Reserve gave, or empty.
+	// Reservation is the ID that Reserve returned; empty if there is none.
 	Reservation string
-	// ResumeAfter is the last event that the caller already has; 0 for none.
+	// ResumeAfter is the number of the last event of the stream that the caller has already; 0 if there is none.
 	ResumeAfter int64
-	// Priority orders the engine's queue, 0 to 9; lower goes first.
+	// Priority orders the engine's queue, 0 to 9; lower numbers go first.
 	Priority int
 }
 
-// EngineExport names a finished prefill.
+// EngineExport identifies a finished prefill that can be imported.
 type EngineExport struct {
-	// Address is the engine that holds it.
+	// Address is the host:port of the engine that holds it, and Handle its ID there.
 	Address string `json:"address"`
 	Handle  string `json:"handle"`
 	Tokens  int    `json:"tokens"`
 }
 
-// Answer is an upstream's answer from its head on.
+// Answer is an upstream's answer, of which the status and the header have been received.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes, or -1 when only its end tells.
+	// Length is the body's length in bytes; -1 if it is unknown.
 	Length int64
-	// Body gives io.EOF only at the body's true end; closing it early ends the work upstream.
+	// Body returns io.EOF only at the end of a complete body. Closing it earlier stops the upstream's work.
 	Body io.ReadCloser
-	// NotRun is the upstream's word that it did not run the call and never will.
+	// NotRun is set if the upstream states that it did not run the call and never will.
 	NotRun bool
 }
 
-// UpstreamStatement is what one answer of an upstream says of the upstream itself.
+// UpstreamStatement is what one answer of an upstream states about the upstream itself.
 type UpstreamStatement struct {
 	// SentAt is when the call was sent, and ReceivedAt when the head of its answer was received.
 	SentAt, ReceivedAt time.Time
-	// PerSecond is the rate of requests that the upstream takes from all daemons together, if RateStated. RateLifted tells
-	// that the answer would state a rate and states none; refusals and answers to calls of the router's own say neither.
+	// PerSecond is the rate in requests per second that the upstream accepts from all daemons together, if RateStated
+	// is set. RateLifted is set if the answer states no rate and is of the kind that would state one. Neither is set
+	// for refusals and for answers to the router's own calls.
 	PerSecond  float64
 	RateStated bool
 	RateLifted bool
-	// Leaving tells that the upstream announces its end.
+	// Leaving is set if the upstream announces that it leaves.
 	Leaving bool
-	// BackOffUntil is when the upstream takes calls of this daemon again; zero when it said nothing of it.
+	// BackOffUntil is the end of the back-off that the upstream asks this daemon for; zero if it asks for none.
 	BackOffUntil time.Time
 }
 
-// UpstreamRate is the newest statement on an upstream's rate that one daemon tells another.
+// UpstreamRate is the newest statement of an upstream's rate, as one daemon sends it to another.
 type UpstreamRate struct {
 	ID            string `json:"id"`
 	StartedMillis int64  `json:"startedMillis,omitempty"`
-	// PerSecond is in requests a second.
+	// PerSecond is the rate in requests per second.
 	PerSecond float64 `json:"perSecond,omitempty"`
-	// Lifted tells that the upstream no longer states a rate.
+	// Lifted is set if the upstream no longer states a rate.
 	Lifted bool `json:"lifted,omitempty"`
-	// AgeMillis is how long ago the upstream said so.
+	// AgeMillis is the age of the statement.
 	AgeMillis int64 `json:"ageMillis"`
 }
 
-// Key names the upstream's incarnation.
+// Key identifies the upstream's incarnation.
 func (r UpstreamRate) Key() UpstreamKey { return UpstreamKey{ID: r.ID, StartedMillis: r.StartedMillis} }
 
-// KeptPrompt is the part of a prompt that an engine still holds.
+// KeptPrompt is the part of a prompt that is in an engine's prompt cache.
 type KeptPrompt struct {
-	// Subject is the part's name, as in ModelWork.
+	// Subject is the name of the part, as in ModelWork.
 	Subject string
 	Tokens  int
 }
 
-// EngineLoad is a model engine's state some hundred milliseconds ago.
+// EngineLoad is a model engine's state as of some hundred milliseconds ago.
 type EngineLoad struct {
 	Role Role
-	// Changing tells that an order is being carried out.
+	// Changing is set while the engine carries out a role order.
 	Changing bool
-	// OrderCount counts the orders that the incarnation accepted.
+	// OrderCount is the number of role orders that the incarnation has accepted.
 	OrderCount int64
-	Waiting    int
-	Running    int
-	// UsedTokens is the memory that can't be reclaimed.
+	// Waiting and Running are numbers of calls.
+	Waiting int
+	Running int
+	// UsedTokens is the memory that can't be reclaimed, in tokens.
 	UsedTokens int
-	// TotalTokens is the engine's whole memory.
+	// TotalTokens is the engine's total memory, in tokens.
 	TotalTokens int
 }
 
-// RoleOrder asks an engine to change its role.
+// RoleOrder orders an engine to change its role.
 type RoleOrder struct {
 	Role Role
-	// Holder is the daemon that may order.
+	// Holder is the daemon that holds the leader's lease.
 	Holder string
-	// Fence grows with each new holder.
+	// Fence is the fencing token of the lease; it increases with each new holder.
 	Fence int64
-	// OrderCount must still hold when the order is carried out.
+	// OrderCount is the engine's OrderCount on which the order is based. The engine refuses the order if it accepted
+	// another one since.
 	OrderCount int64
 }
 
-// Upstreams sends to upstreams. Nothing is ever sent twice by itself.
+// Upstreams is the client of all upstreams. It never resends anything: only its caller knows whether a call may run
+// twice.
 type Upstreams interface {
-	// Send sends one call and returns the answer's head; the error is a *SendError.
+	// Send sends one call and returns as soon as the head of the answer was received. The error is a *SendError.
 	Send(ctx context.Context, to Upstream, call Outgoing) (*Answer, error)
-	// Prefill has the prompt read and exported; the error is a *SendError.
+	// Prefill has an engine prefill the prompt and export the result. The error is a *SendError.
 	Prefill(ctx context.Context, to Upstream, call Outgoing) (EngineExport, error)
-	// DropExport frees an export that nobody will import.
+	// DropExport frees an export that no engine will import.
 	DropExport(ctx context.Context, to Upstream, export EngineExport) error
-	// Reserve takes a slot and memory for tokens; ok is false when the engine has none left.
+	// Reserve reserves a slot and memory for the number of tokens until the deadline; ok is false if the engine has
+	// none left.
 	Reserve(ctx context.Context, to Upstream, tokens int, deadline time.Time) (reservation string, ok bool, err error)
-	// DropReservation gives an unused reservation back.
+	// DropReservation releases an unused reservation.
 	DropReservation(ctx context.Context, to Upstream, reservation string) error
-	// MoveRun stops a call's run and copies its memory to another engine, where it can go on by the export. When the
-	// copy fails, copied is false and the export can be imported by the engine itself, which has stopped all the same.
+	// MoveRun stops a call's run and copies its memory to another engine, where the run can continue from the export.
+	// If the copy fails, copied is false and the export can be imported by the engine from; the run has stopped there
+	// too.
 	MoveRun(ctx context.Context, from, to Upstream, callID string) (export EngineExport, copied bool, err error)
-	// Kept asks an engine which prompts its memory still holds.
+	// Kept queries which prompts are in an engine's prompt cache.
 	Kept(ctx context.Context, to Upstream) ([]KeptPrompt, error)
-	// Load asks an engine for its state.
+	// Load queries an engine's state.
 	Load(ctx context.Context, to Upstream) (EngineLoad, error)
-	// ChangeRole sends an order; accepted is false when the engine declined it.
+	// ChangeRole sends a role order; accepted is false if the engine refused it.
 	ChangeRole(ctx context.Context, to Upstream, order RoleOrder) (accepted bool, err error)
 }
 
-// UpstreamThrottle keeps sends within what upstreams say that they take.
+// UpstreamThrottle keeps sends within the rates that upstreams state, and out of the back-off that upstreams ask for.
 type UpstreamThrottle interface {
-	// Admit takes one send to the upstream. The error is a *Problem that says when to come back.
+	// Admit admits one send to the upstream. The error is a *Problem with a retry time.
 	Admit(ctx context.Context, upstream UpstreamKey) error
-	// Return gives back a send that was not made.
+	// Return returns an admitted send that was not made.
 	Return(upstream UpstreamKey)
-	// ClosedUntil is when an upstream that wants no call from this daemon takes one again; zero when it takes one now.
+	// ClosedUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
 	ClosedUntil(upstream UpstreamKey) time.Time
 }
 
-// SendError tells how far a failed send got.
+// SendError is the error of a failed send. It states how far the send got.
 type SendError struct {
-	// Sent tells that a byte of the call may have reached the upstream.
+	// Sent is set if a byte of the call may have reached the upstream.
 	Sent bool
-	// NotRun is the upstream's own word that it did not run the call.
+	// NotRun is set if the upstream states that it did not run the call.
 	NotRun bool
-	// Gone tells that another incarnation answers at the address.
+	// Gone is set if another incarnation answers at the address, so that the one that the call was for has terminated.
 	Gone bool
-	// Status is the upstream's refusal, or 0.
+	// Status is the HTTP status of the upstream's refusal; 0 if there was no answer.
 	Status int
 	Err    error
 }
 
-// Error says what failed.
+// Error returns the text of the cause.
 func (e *SendError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Safe tells that the call has certainly not run at this upstream.
+// Safe reports whether the call has certainly not run at this upstream, so that it may be sent to another one.
 func (e *SendError) Safe() bool { return !e.Sent || e.NotRun }
