--- a/internal/edge/twcompletion/completion.go
+++ b/internal/edge/twcompletion/completion.go
@@ -1,4 +1,6 @@
-// Package twcompletion reads and writes the bodies of completions, plain and chat.
+// Package twcompletion parses the bodies of completion calls, plain and chat, and encodes their answers in the format
+// that clients of completions expect. The edge parses a call with it before placement and encodes each token or the
+// complete answer with it.
 package twcompletion
 
 import (
@@ -17,17 +19,18 @@
 	maxPromptBytes   = 1 << 20
 )
 
-// Completion is one parsed call.
+// Completion is one parsed and checked call.
 type Completion struct {
-	chat      bool
-	model     string
-	prompt    string
-	maxTokens int
-	stream    bool
-	usage     bool
+	chat         bool
+	model        string
+	prompt       string
+	maxTokens    int
+	stream       bool
+	includeUsage bool
 }
 
-type callBody struct {
+// requestBody holds the fields of a completion call that the daemon uses.
+type requestBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
 	Messages            []message       `json:"messages"`
@@ -50,24 +53,25 @@
 	Text string `json:"text"`
 }
 
-// Parse reads a call's body. Fields that it does not use are left to the clients that send them.
+// Parse reads and checks a call's body; fields that the daemon does not use are ignored. It fails with KindBadRequest,
+// or with KindTooLarge for a prompt over 1 MiB.
 func Parse(body []byte, chat bool) (*Completion, error) {
-	var call callBody
+	var call requestBody
 	if err := json.Unmarshal(body, &call); err != nil {
-		return nil, bad(fmt.Sprintf("the body is not the JSON of a completion: %v", err))
+		return nil, badRequest(fmt.Sprintf("the body is not the JSON of a completion: %v", err))
 	}
-	c := &Completion{chat: chat, model: call.Model, stream: call.Stream, usage: call.StreamOptions.IncludeUsage}
+	c := &Completion{chat: chat, model: call.Model, stream: call.Stream, includeUsage: call.StreamOptions.IncludeUsage}
 	if c.model == "" {
-		return nil, bad("model is missing")
+		return nil, badRequest("model is missing")
 	}
 	if call.N != nil && *call.N != 1 {
-		return nil, bad("n must be 1")
+		return nil, badRequest("n must be 1")
 	}
 	var err error
 	if c.maxTokens, err = tokenLimit(call); err != nil {
 		return nil, err
 	}
-	if c.prompt, err = promptOf(call, chat); err != nil {
+	if c.prompt, err = promptText(call, chat); err != nil {
 		return nil, err
 	}
 	if len(c.prompt) > maxPromptBytes {
@@ -77,28 +81,31 @@
 	return c, nil
 }
 
-// Model is the model that the caller asks for.
+// Model returns the model that the caller asks for.
 func (c *Completion) Model() string { return c.model }
 
-// Prompt is the text that the engines get.
+// Prompt returns the text that is sent to the engines; the messages of a chat are joined into one text.
 func (c *Completion) Prompt() string { return c.prompt }
 
-// MaxTokens bounds the answer.
+// MaxTokens returns the most tokens that the answer may have.
 func (c *Completion) MaxTokens() int { return c.maxTokens }
 
-// Stream tells whether the answer goes out token by token.
+// Stream reports whether the caller wants the answer token by token.
 func (c *Completion) Stream() bool { return c.stream }
 
-// Chat tells a chat completion from a plain one.
+// Chat reports whether the call is a chat completion rather than a plain one.
 func (c *Completion) Chat() bool { return c.chat }
 
-// IncludeUsage tells whether a stream ends with the token counts.
-func (c *Completion) IncludeUsage() bool { return c.usage }
+// IncludeUsage reports whether the last chunk of a stream must contain the token counts.
+func (c *Completion) IncludeUsage() bool { return c.includeUsage }
 
-// Whole is the body of an answer that is not streamed.
-func (c *Completion) Whole(id string, created time.Time, text string, usage turmericwall.Usage) ([]byte, error) {
-	answer := answerBody{ID: idOf(c.chat, id), Object: objectOf(c.chat, false), Created: created.Unix(), Model: c.model, Usage: &usage}
-	choice := answerChoice{Finish: finishOf(usage, c.maxTokens)}
+// EncodeAnswer returns the body of a complete, unstreamed answer.
+func (c *Completion) EncodeAnswer(id string, created time.Time, text string, usage turmericwall.Usage) ([]byte, error) {
+	answer := answerBody{
+		ID: completionID(c.chat, id), Object: objectName(c.chat, false), Created: created.Unix(), Model: c.model,
+		Usage: &usage,
+	}
+	choice := answerChoice{FinishReason: finishReason(usage, c.maxTokens)}
 	if c.chat {
 		choice.Message = &chatText{Role: "assistant", Content: text}
 	} else {
@@ -108,28 +115,29 @@
 	return json.Marshal(answer)
 }
 
-// Chunk is the body of one streamed token.
-func (c *Completion) Chunk(id string, created time.Time, text string) ([]byte, error) {
-	return json.Marshal(c.chunk(id, created, answerChoice{}, text))
+// EncodeChunk returns the body of one streamed token.
+func (c *Completion) EncodeChunk(id string, created time.Time, text string) ([]byte, error) {
+	return json.Marshal(c.newChunk(id, created, answerChoice{}, text))
 }
 
-// LastChunk is the body of the chunk that ends a stream.
-func (c *Completion) LastChunk(id string, created time.Time, usage turmericwall.Usage) ([]byte, error) {
-	body := c.chunk(id, created, answerChoice{Finish: finishOf(usage, c.maxTokens)}, "")
-	if c.usage {
+// EncodeLastChunk returns the body of the chunk that ends a stream: the finish reason and, if the caller asked for
+// them, the token counts.
+func (c *Completion) EncodeLastChunk(id string, created time.Time, usage turmericwall.Usage) ([]byte, error) {
+	body := c.newChunk(id, created, answerChoice{FinishReason: finishReason(usage, c.maxTokens)}, "")
+	if c.includeUsage {
 		body.Usage = &usage
 	}
 	return json.Marshal(body)
 }
 
-func (c *Completion) chunk(id string, created time.Time, choice answerChoice, text string) answerBody {
+func (c *Completion) newChunk(id string, created time.Time, choice answerChoice, text string) answerBody {
 	if c.chat {
 		choice.Delta = &chatText{Role: "assistant", Content: text}
 	} else {
 		choice.Text = &text
 	}
 	return answerBody{
-		ID: idOf(c.chat, id), Object: objectOf(c.chat, true), Created: created.Unix(), Model: c.model,
+		ID: completionID(c.chat, id), Object: objectName(c.chat, true), Created: created.Unix(), Model: c.model,
 		Choices: []answerChoice{choice},
 	}
 }
@@ -144,11 +152,11 @@
 }
 
 type answerChoice struct {
-	Index   int       `json:"index"`
-	Text    *string   `json:"text,omitempty"`
-	Message *chatText `json:"message,omitempty"`
-	Delta   *chatText `json:"delta,omitempty"`
-	Finish  *string   `json:"finish_reason"`
+	Index        int       `json:"index"`
+	Text         *string   `json:"text,omitempty"`
+	Message      *chatText `json:"message,omitempty"`
+	Delta        *chatText `json:"delta,omitempty"`
+	FinishReason *string   `json:"finish_reason"`
 }
 
 type chatText struct {
@@ -156,14 +164,14 @@
 	Content string `json:"content"`
 }
 
-func idOf(chat bool, id string) string {
+func completionID(chat bool, id string) string {
 	if chat {
 		return "chatcmpl-" + id
 	}
 	return "cmpl-" + id
 }
 
-func objectOf(chat, chunk bool) string {
+func objectName(chat, chunk bool) string {
 	switch {
 	case chat && chunk:
 		return "chat.completion.chunk"
@@ -174,7 +182,8 @@
 	}
 }
 
-func finishOf(usage turmericwall.Usage, maxTokens int) *string {
+// finishReason returns "length" for an answer that reached the token limit, and otherwise "stop".
+func finishReason(usage turmericwall.Usage, maxTokens int) *string {
 	finish := "stop"
 	if usage.CompletionTokens >= maxTokens {
 		finish = "length"
@@ -182,7 +191,8 @@
 	return &finish
 }
 
-func tokenLimit(call callBody) (int, error) {
+// tokenLimit returns the most tokens that the answer may have. max_completion_tokens takes precedence over max_tokens.
+func tokenLimit(call requestBody) (int, error) {
 	limit := call.MaxTokens
 	if call.MaxCompletionTokens != nil {
 		limit = call.MaxCompletionTokens
@@ -191,32 +201,33 @@
 		return defaultMaxTokens, nil
 	}
 	if *limit < 1 || *limit > maxTokensLimit {
-		return 0, bad(fmt.Sprintf("max_tokens is %d, not between 1 and %d", *limit, maxTokensLimit))
+		return 0, badRequest(fmt.Sprintf("max_tokens is %d, not between 1 and %d", *limit, maxTokensLimit))
 	}
 	return *limit, nil
 }
 
-func promptOf(call callBody, chat bool) (string, error) {
+func promptText(call requestBody, chat bool) (string, error) {
 	if chat {
 		return chatPrompt(call.Messages)
 	}
 	var prompt string
 	if json.Unmarshal(call.Prompt, &prompt) != nil || prompt == "" {
-		return "", bad("prompt must be a text that is not empty")
+		return "", badRequest("prompt must be a text that is not empty")
 	}
 	return prompt, nil
 }
 
-// chatPrompt lays the messages out as one text, each with its role.
+// chatPrompt joins the messages into one prompt, each after a marker of its role, and ends it with the marker of the
+// assistant's answer.
 func chatPrompt(messages []message) (string, error) {
 	if len(messages) == 0 {
-		return "", bad("messages must hold at least one message")
+		return "", badRequest("messages must hold at least one message")
 	}
 	var prompt strings.Builder
 	for i, m := range messages {
 		text, err := messageText(m)
 		if err != nil {
-			return "", bad(fmt.Sprintf("messages[%d]: %v", i, err))
+			return "", badRequest(fmt.Sprintf("messages[%d]: %v", i, err))
 		}
 		prompt.WriteString("<|" + m.Role + "|>\n" + text + "\n")
 	}
@@ -224,6 +235,7 @@
 	return prompt.String(), nil
 }
 
+// messageText returns a message's content, which is a text or a list of text parts.
 func messageText(m message) (string, error) {
 	var text string
 	if json.Unmarshal(m.Content, &text) == nil {
@@ -233,21 +245,21 @@
 	if err := json.Unmarshal(m.Content, &parts); err != nil {
 		return "", fmt.Errorf("content must be a text or a list of text parts")
 	}
-	var all strings.Builder
+	var content strings.Builder
 	for _, p := range parts {
 		if p.Type != "text" {
 			return "", fmt.Errorf("content part %q is not a text", p.Type)
 		}
-		all.WriteString(p.Text)
+		content.WriteString(p.Text)
 	}
-	return all.String(), nil
+	return content.String(), nil
 }
 
-func bad(detail string) error {
+func badRequest(detail string) error {
 	return turmericwall.NewProblem(turmericwall.KindBadRequest, detail, "correct the body and send it again")
 }
 
-// Stored is the call of an answer that was kept.
-func Stored(chat bool, model string, maxTokens int) *Completion {
+// ForStoredAnswer returns the completion that encodes the stored answer of a deferrable request.
+func ForStoredAnswer(chat bool, model string, maxTokens int) *Completion {
 	return &Completion{chat: chat, model: model, maxTokens: maxTokens}
 }
--- a/internal/edge/twcompletion/completion_test.go
+++ b/internal/edge/twcompletion/completion_test.go
@@ -10,7 +10,7 @@
 	"github.com/turmericwall/turmericwall/internal/edge/twcompletion"
 )
 
-func TestChatMessagesBecomeOnePrompt(t *testing.T) {
+func TestChatMessagesAreJoinedIntoOnePrompt(t *testing.T) {
 	g := NewWithT(t)
 	c, err := twcompletion.Parse([]byte(`{"model":"m","messages":[
 		{"role":"system","content":"be short"},
@@ -19,11 +19,11 @@
 	g.Expect(c.Prompt()).To(Equal("<|system|>\nbe short\n<|user|>\nwhich tables?\n<|assistant|>\n"))
 }
 
-func TestWholeAnswerIsWhatClientsOfCompletionsRead(t *testing.T) {
+func TestUnstreamedAnswerFollowsTheCompletionsFormat(t *testing.T) {
 	g := NewWithT(t)
 	c, err := twcompletion.Parse([]byte(`{"model":"m","prompt":"p","max_tokens":2}`), false)
 	g.Expect(err).NotTo(HaveOccurred())
-	body, err := c.Whole("1", time.Unix(7, 0), " a b", turmericwall.Usage{PromptTokens: 1, CompletionTokens: 2, TotalTokens: 3})
+	body, err := c.EncodeAnswer("1", time.Unix(7, 0), " a b", turmericwall.Usage{PromptTokens: 1, CompletionTokens: 2, TotalTokens: 3})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(MatchJSON(`{"id":"cmpl-1","object":"text_completion","created":7,"model":"m",
 		"choices":[{"index":0,"text":" a b","finish_reason":"length"}],
@@ -43,7 +43,7 @@
 			return
 		}
 		if c.Prompt() == "" || c.MaxTokens() < 1 || c.Model() == "" {
-			t.Fatalf("accepted %q", body)
+			t.Fatalf("accepted a completion without a prompt, token limit or model: %q", body)
 		}
 	})
 }
--- a/internal/edge/twedge/completions.go
+++ b/internal/edge/twedge/completions.go
@@ -17,10 +17,11 @@
 	"github.com/turmericwall/turmericwall/internal/once/twclaim"
 )
 
-// complete handles a completion: streamed, whole, or deferred.
-func (e *Edge) complete(chat bool) echo.HandlerFunc {
+// completionHandler returns the handler of plain or chat completions. It answers in one body, as a stream of tokens, or
+// with the address of an accepted deferrable request.
+func (e *Edge) completionHandler(chat bool) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		body, err := e.body(c)
+		body, err := e.readBody(c)
 		if err != nil {
 			return err
 		}
@@ -28,11 +29,11 @@
 		if err != nil {
 			return err
 		}
-		request, err := e.request(c, completion)
+		request, err := e.buildRequest(c, completion)
 		if err != nil {
 			return err
 		}
-		idempotencyKey, err := key(c)
+		idempotencyKey, err := idempotencyKeyOf(c)
 		if err != nil {
 			return err
 		}
@@ -40,13 +41,13 @@
 			Str("work", request.Work.Name).Str("model", request.Model).Send()
 		switch {
 		case wantsAsync(c):
-			return e.submit(c, completion, request, idempotencyKey, body)
+			return e.submitDeferrable(c, completion, request, idempotencyKey, body)
 		case idempotencyKey != "":
-			return e.completeOnce(c, completion, request, idempotencyKey, body)
+			return e.answerIdempotent(c, completion, request, idempotencyKey, body)
 		case completion.Stream():
-			return e.stream(c, completion, request)
+			return e.answerStreamed(c, completion, request)
 		}
-		return e.whole(c, completion, request)
+		return e.answerUnstreamed(c, completion, request)
 	}
 }
 
@@ -59,15 +60,16 @@
 	return false
 }
 
-// request checks the call against the document.
-func (e *Edge) request(c echo.Context, completion *twcompletion.Completion) (turmericwall.Request, error) {
+// buildRequest checks the call against the document and returns the request to deliver. It fails with KindNotFound for
+// an undeclared model and with KindForbidden for work that the account is not declared for.
+func (e *Edge) buildRequest(c echo.Context, completion *twcompletion.Completion) (turmericwall.Request, error) {
 	call := callOf(c)
 	service, ok := call.document.ServiceOfModel(completion.Model())
 	if !ok {
 		return turmericwall.Request{}, turmericwall.NewProblem(turmericwall.KindNotFound,
 			fmt.Sprintf("model %q is not declared", completion.Model()), "list the models with GET /v1/models")
 	}
-	work, err := workOf(call, c.Request().Header.Get(headerWork))
+	work, err := selectWork(call, c.Request().Header.Get(headerWork))
 	if err != nil {
 		return turmericwall.Request{}, err
 	}
@@ -82,7 +84,8 @@
 	return request, nil
 }
 
-func workOf(call call, name string) (*turmericwall.Work, error) {
+// selectWork returns the work of that name, or the account's first work when the name is empty.
+func selectWork(call call, name string) (*turmericwall.Work, error) {
 	if name == "" {
 		name = call.account.Work[0]
 	}
@@ -97,38 +100,46 @@
 		fmt.Sprintf("the account may not ask for work %q", name), "send an X-Work that the account is declared for")
 }
 
-// whole answers with one body.
-func (e *Edge) whole(c echo.Context, completion *twcompletion.Completion, request turmericwall.Request) error {
-	answer, err := e.collect(c.Request().Context(), completion, request)
+// answerUnstreamed answers with one body.
+func (e *Edge) answerUnstreamed(
+	c echo.Context, completion *twcompletion.Completion, request turmericwall.Request,
+) error {
+	answer, err := e.collectAnswer(c.Request().Context(), completion, request)
 	if err != nil {
 		return err
 	}
 	return e.writeAnswer(c, answer)
 }
 
-func (e *Edge) collect(ctx context.Context, completion *twcompletion.Completion, request turmericwall.Request) (*twclaim.Answer, error) {
-	var text collector
+// collectAnswer delivers the request and returns its complete answer.
+func (e *Edge) collectAnswer(
+	ctx context.Context, completion *twcompletion.Completion, request turmericwall.Request,
+) (*twclaim.Answer, error) {
+	var text textCollector
 	usage, err := e.config.Deliverer.Deliver(ctx, request, &text)
 	if err != nil {
 		return nil, err
 	}
-	body, err := completion.Whole(request.ID, e.config.Clock.Now(), text.String(), usage)
+	body, err := completion.EncodeAnswer(request.ID, e.config.Clock.Now(), text.String(), usage)
 	if err != nil {
 		return nil, err
 	}
 	return twclaim.AnswerOf(http.StatusOK, http.Header{echo.HeaderContentType: {echo.MIMEApplicationJSON}}, body), nil
 }
 
-type collector struct{ bytes.Buffer }
+// textCollector is a sink that joins the tokens of an answer.
+type textCollector struct{ bytes.Buffer }
 
-func (c *collector) Token(text string) error {
+func (c *textCollector) Token(text string) error {
 	_, err := c.WriteString(text)
 	return err
 }
 
-// completeOnce answers a completion with an Idempotency-Key: the same key gets the same bytes, at any
-// daemon. The answer is not streamed token by token, since only a whole answer is recorded.
-func (e *Edge) completeOnce(c echo.Context, completion *twcompletion.Completion, request turmericwall.Request, idempotencyKey string, body []byte) error {
+// answerIdempotent answers a completion that carries an Idempotency-Key: every daemon answers the same key with the
+// same bytes. The answer is not streamed, since only a complete answer is recorded.
+func (e *Edge) answerIdempotent(
+	c echo.Context, completion *twcompletion.Completion, request turmericwall.Request, idempotencyKey string, body []byte,
+) error {
 	ctx := c.Request().Context()
 	answer, err := e.config.Claims.Do(ctx, twclaim.Call{
 		Account: request.Account, Service: request.Service, Key: idempotencyKey, Repeatable: true,
@@ -137,7 +148,7 @@
 		if err := beforeSend(); err != nil {
 			return nil, err
 		}
-		return e.collect(ctx, completion, request)
+		return e.collectAnswer(ctx, completion, request)
 	})
 	if err != nil {
 		return err
@@ -145,8 +156,10 @@
 	return e.writeAnswer(c, answer)
 }
 
-// submit accepts deferrable work; 202 goes out only after it is durable.
-func (e *Edge) submit(c echo.Context, completion *twcompletion.Completion, request turmericwall.Request, idempotencyKey string, body []byte) error {
+// submitDeferrable accepts deferrable work and answers 202 once the ledger has stored it durably.
+func (e *Edge) submitDeferrable(
+	c echo.Context, completion *twcompletion.Completion, request turmericwall.Request, idempotencyKey string, body []byte,
+) error {
 	if request.Work.Urgent {
 		return turmericwall.NewProblem(turmericwall.KindBadRequest,
 			fmt.Sprintf("work %q may not wait", request.Work.Name), "leave respond-async out, or send another X-Work")
@@ -163,34 +176,34 @@
 	if err != nil {
 		return err
 	}
-	e.noteAnswered(c)
+	e.recordAnswered(c)
 	c.Response().Header().Set(echo.HeaderLocation, "/v1/requests/"+id)
 	return c.JSON(http.StatusAccepted, statusBody{ID: id, State: twentry.StateOpen})
 }
 
-// stream answers token by token. An error after the first token ends the stream with an error event and
-// without its closing mark, so that no client takes a part for the whole.
-func (e *Edge) stream(c echo.Context, completion *twcompletion.Completion, request turmericwall.Request) error {
-	s := newStream(e, c, completion, request)
+// answerStreamed answers token by token. After the first token, an error ends the stream with an error event and
+// without the [DONE] event, so that no client mistakes a partial answer for a complete one.
+func (e *Edge) answerStreamed(c echo.Context, completion *twcompletion.Completion, request turmericwall.Request) error {
+	s := newEventStream(e, c, completion, request)
 	usage, err := e.config.Deliverer.Deliver(c.Request().Context(), request, s)
 	if err != nil {
 		if !s.started {
 			return err
 		}
-		s.fail(err)
+		s.writeError(err)
 		return err
 	}
-	e.noteAnswered(c)
+	e.recordAnswered(c)
 	return s.finish(usage)
 }
 
-func (e *Edge) noteAnswered(c echo.Context) {
+func (e *Edge) recordAnswered(c echo.Context) {
 	e.answered.Inc(1)
 	e.config.Recorder.Record(turmericwall.EventRequestAnswered).Str("request", c.Response().Header().Get(headerRequestID)).Send()
 }
 
 func (e *Edge) writeAnswer(c echo.Context, answer *twclaim.Answer) error {
-	e.noteAnswered(c)
+	e.recordAnswered(c)
 	header := c.Response().Header()
 	for name, values := range answer.Header {
 		header[name] = values
--- a/internal/edge/twedge/edge.go
+++ b/internal/edge/twedge/edge.go
@@ -1,4 +1,6 @@
-// Package twedge answers callers over HTTP.
+// Package twedge serves the callers' listener over HTTP. Each call is authenticated and checked against the
+// account's rate limit; completions then go to the deliverer, calls of plain services to the forwarder, and
+// deferrable work to the ledger.
 package twedge
 
 import (
@@ -25,73 +27,74 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twserve"
 )
 
-// Limits towards callers. A slow or stalled caller holds a connection no longer than these.
+// Limits on callers' connections. The timeouts bound how long a slow or stalled caller can hold a connection.
 const (
-	headerTimeout  = 10 * time.Second
-	bodyTimeout    = 30 * time.Second
-	idleTimeout    = 2 * time.Minute
-	maxHeaderBytes = 32 << 10
-	maxKeyBytes    = 255
-	// discardFactor bounds what is read and thrown away of a body over the limit, in limits.
-	discardFactor = 4
+	readHeaderTimeout = 10 * time.Second
+	readBodyTimeout   = 30 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 32 << 10
+	maxKeyBytes       = 255
+	// maxDiscardFactor bounds how much of an oversized body is read and discarded, as a multiple of MaxBodyBytes.
+	maxDiscardFactor = 4
 )
 
-// Headers of the callers' interface.
+// Request and response headers of the callers' interface.
 const (
-	headerRequestID = "X-Request-Id"
-	headerKey       = "Idempotency-Key"
-	headerWork      = "X-Work"
+	headerRequestID      = "X-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerWork           = "X-Work"
 )
 
-// Edge serves the callers' listener.
+// Edge is the HTTP server of the callers' listener.
 type Edge struct {
-	config   Config
-	keys     *twkeyring.Keyring
-	server   *http.Server
-	inFlight atomic.Int64
-	answered metrics.Counter
-	failed   metrics.Counter
-	first    metrics.Timer
+	config     Config
+	keys       *twkeyring.Keyring
+	server     *http.Server
+	inFlight   atomic.Int64
+	answered   metrics.Counter
+	failed     metrics.Counter
+	firstToken metrics.Timer
 }
 
-// Config names what the edge answers from.
+// Config holds the limits of an edge and the components that it passes calls to.
 type Config struct {
-	Documents    turmericwall.Documents
-	Peers        turmericwall.Peers
-	Deliverer    turmericwall.Deliverer
-	Forwarder    turmericwall.Forwarder
-	Claims       *twclaim.Claims
-	Ledger       *twledger.Ledger
-	Limiter      *twlimiter.Limiter
+	Documents turmericwall.Documents
+	Peers     turmericwall.Peers
+	Deliverer turmericwall.Deliverer
+	Forwarder turmericwall.Forwarder
+	Claims    *twclaim.Claims
+	Ledger    *twledger.Ledger
+	Limiter   *twlimiter.Limiter
+	// MaxBodyBytes bounds the body of one call; larger bodies are refused with KindTooLarge.
 	MaxBodyBytes int64
-	// TLS is nil for plain text.
+	// TLS is nil when callers connect in plain text.
 	TLS      *tls.Config
 	Clock    clockwork.Clock
 	Recorder turmericwall.Recorder
 	Registry metrics.Registry
 }
 
-// New returns an edge.
+// New returns an edge with its routes; Serve starts it.
 func New(config Config) *Edge {
 	e := &Edge{
-		config:   config,
-		keys:     twkeyring.New(),
-		answered: metrics.GetOrRegisterCounter("requests.answered", config.Registry),
-		failed:   metrics.GetOrRegisterCounter("requests.failed", config.Registry),
-		first:    metrics.GetOrRegisterTimer("requests.firstToken", config.Registry),
+		config:     config,
+		keys:       twkeyring.New(),
+		answered:   metrics.GetOrRegisterCounter("requests.answered", config.Registry),
+		failed:     metrics.GetOrRegisterCounter("requests.failed", config.Registry),
+		firstToken: metrics.GetOrRegisterTimer("requests.firstToken", config.Registry),
 	}
 	router := echo.New()
-	router.Use(e.identify, e.guard)
-	router.POST("/v1/completions", e.complete(false))
-	router.POST("/v1/chat/completions", e.complete(true))
-	router.GET("/v1/models", e.models)
-	router.GET("/v1/requests/:id", e.fetch)
-	router.DELETE("/v1/requests/:id", e.cancel)
-	router.Any("/services/:service/*", e.forward)
+	router.Use(e.trackRequest, e.admit)
+	router.POST("/v1/completions", e.completionHandler(false))
+	router.POST("/v1/chat/completions", e.completionHandler(true))
+	router.GET("/v1/models", e.listModels)
+	router.GET("/v1/requests/:id", e.fetchRequest)
+	router.DELETE("/v1/requests/:id", e.cancelRequest)
+	router.Any("/services/:service/*", e.forwardCall)
 	router.HTTPErrorHandler = e.handleError
 	e.server = &http.Server{
 		Handler:           router,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		TLSConfig:         config.TLS,
@@ -107,28 +110,28 @@
 	return twserve.Until(ctx, e.server, listener)
 }
 
-// Announce asks callers to leave their connections after the next answer.
-func (e *Edge) Announce() { e.server.SetKeepAlivesEnabled(false) }
+// DisableKeepAlives makes each connection close after its next answer, so that callers open new ones elsewhere.
+func (e *Edge) DisableKeepAlives() { e.server.SetKeepAlivesEnabled(false) }
 
-// Drain stops taking connections and returns when no request is under way, or when ctx ends.
+// Drain closes the listener and returns when no request is in flight, or with an error when ctx ends first.
 func (e *Edge) Drain(ctx context.Context) error { return e.server.Shutdown(ctx) }
 
-// InFlight counts the requests under way.
+// InFlight returns the number of requests in flight.
 func (e *Edge) InFlight() int64 { return e.inFlight.Load() }
 
-// call is what the edge knows of one authenticated call.
+// call is one authenticated call.
 type call struct {
 	id       string
 	document *turmericwall.Document
 	account  turmericwall.Account
 }
 
-const callKey = "call"
+const callContextKey = "call"
 
-func callOf(c echo.Context) call { return c.Get(callKey).(call) }
+func callOf(c echo.Context) call { return c.Get(callContextKey).(call) }
 
-// identify names the call and counts it.
-func (e *Edge) identify(next echo.HandlerFunc) echo.HandlerFunc {
+// trackRequest gives the request an id, the caller's own if it sent a valid one, and counts the request as in flight.
+func (e *Edge) trackRequest(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := c.Request().Header.Get(headerRequestID)
 		if id == "" || len(id) > maxKeyBytes {
@@ -141,8 +144,9 @@
 	}
 }
 
-// guard lets in calls of known accounts that are within their limit.
-func (e *Edge) guard(next echo.HandlerFunc) echo.HandlerFunc {
+// admit passes on the calls of declared accounts that are within their rate limit. Without a document no call can be
+// authenticated, so that all are refused with KindNotReady.
+func (e *Edge) admit(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		document, ok := e.config.Documents.Current()
 		if !ok {
@@ -159,23 +163,23 @@
 			return turmericwall.NewProblem(turmericwall.KindOverLimit, "the account is over its rate limit",
 				"come back at the time given").WithRetryAt(retryAt)
 		}
-		c.Set(callKey, call{id: c.Response().Header().Get(headerRequestID), document: document, account: account})
+		c.Set(callContextKey, call{id: c.Response().Header().Get(headerRequestID), document: document, account: account})
 		return next(c)
 	}
 }
 
-// body reads the call's body within its size and time.
+// readBody reads the call's body within its limits on size and time.
 //
-// A caller that still sends while it is answered may get its connection reset before it has read the
-// answer: it would see a broken connection instead of the problem. So what is over the limit is read and
-// thrown away first, up to a bound of its own.
-func (e *Edge) body(c echo.Context) ([]byte, error) {
+// The connection of a caller that is still sending may be reset before the caller has read the answer, and the
+// caller would see a connection error instead of the problem. An oversized body is therefore read and discarded, up
+// to maxDiscardFactor times the limit, before the call is refused.
+func (e *Edge) readBody(c echo.Context) ([]byte, error) {
 	controller := http.NewResponseController(c.Response())
-	_ = controller.SetReadDeadline(e.config.Clock.Now().Add(bodyTimeout))
+	_ = controller.SetReadDeadline(e.config.Clock.Now().Add(readBodyTimeout))
 	content, err := io.ReadAll(io.LimitReader(c.Request().Body, e.config.MaxBodyBytes+1))
 	tooLarge := int64(len(content)) > e.config.MaxBodyBytes
 	if tooLarge {
-		_, _ = io.CopyN(io.Discard, c.Request().Body, discardFactor*e.config.MaxBodyBytes)
+		_, _ = io.CopyN(io.Discard, c.Request().Body, maxDiscardFactor*e.config.MaxBodyBytes)
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	if tooLarge {
@@ -187,9 +191,10 @@
 	return content, nil
 }
 
-// key returns the call's Idempotency-Key; two of them are an error.
-func key(c echo.Context) (string, error) {
-	keys := c.Request().Header.Values(headerKey)
+// idempotencyKeyOf returns the call's Idempotency-Key, or an empty text if it has none. More than one is an error,
+// since only one claim can be made for a call.
+func idempotencyKeyOf(c echo.Context) (string, error) {
+	keys := c.Request().Header.Values(headerIdempotencyKey)
 	switch {
 	case len(keys) == 0:
 		return "", nil
@@ -201,6 +206,7 @@
 	return keys[0], nil
 }
 
+// handleError records a failed call and answers it with a problem, unless its answer has already begun.
 func (e *Edge) handleError(err error, c echo.Context) {
 	e.failed.Inc(1)
 	request := c.Response().Header().Get(headerRequestID)
@@ -216,10 +222,11 @@
 	}
 }
 
+// problemOf returns the problem in the error; errors of the HTTP router stand for unknown paths and methods.
 func (e *Edge) problemOf(err error) *turmericwall.Problem {
-	var fromRouter *echo.HTTPError
-	if errors.As(err, &fromRouter) {
+	var routerError *echo.HTTPError
+	if errors.As(err, &routerError) {
 		return turmericwall.NewProblem(turmericwall.KindNotFound, "no such address or method", "see docs/INTERFACES.md")
 	}
-	return twproblem.Of(err)
+	return twproblem.FromError(err)
 }
--- a/internal/edge/twedge/handlers.go
+++ b/internal/edge/twedge/handlers.go
@@ -16,10 +16,10 @@
 	"github.com/turmericwall/turmericwall/internal/once/twclaim"
 )
 
-// fetchAgain is when a caller should ask again for an answer that is not there yet.
-const fetchAgain = 2 * time.Second
+// pendingRetryAfter is the Retry-After of a deferrable request that has no answer yet.
+const pendingRetryAfter = 2 * time.Second
 
-// maxAnswerBytes bounds a plain service's answer.
+// maxAnswerBytes bounds the body of a plain service's answer, which is held in memory.
 const maxAnswerBytes = 8 << 20
 
 type statusBody struct {
@@ -40,7 +40,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (e *Edge) models(c echo.Context) error {
+func (e *Edge) listModels(c echo.Context) error {
 	list := modelList{Object: "list", Data: []model{}}
 	for _, s := range callOf(c).document.Services() {
 		for _, name := range s.Models {
@@ -50,35 +50,36 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// fetch answers 200 with the answer, 202 while there is none, and 410 for a cancelled request.
-func (e *Edge) fetch(c echo.Context) error {
-	entry, err := e.entry(c)
+// fetchRequest answers 200 with the answer of a deferrable request, 202 while it is open, and 410 with its state
+// when it ended without an answer.
+func (e *Edge) fetchRequest(c echo.Context) error {
+	entry, err := e.readEntry(c)
 	if err != nil {
 		return err
 	}
 	switch entry.State {
 	case twentry.StateDone:
-		body, err := answerOf(entry)
+		body, err := encodeAnswer(entry)
 		if err != nil {
 			return err
 		}
 		return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, body)
 	case twentry.StateOpen:
-		c.Response().Header().Set(echo.HeaderRetryAfter, fmt.Sprintf("%.0f", fetchAgain.Seconds()))
+		c.Response().Header().Set(echo.HeaderRetryAfter, fmt.Sprintf("%.0f", pendingRetryAfter.Seconds()))
 		return c.JSON(http.StatusAccepted, statusBody{ID: entry.ID, State: entry.State})
 	default:
 		return c.JSON(http.StatusGone, statusBody{ID: entry.ID, State: entry.State, Fault: entry.Fault})
 	}
 }
 
-// answerOf makes the same bytes from the same entry each time.
-func answerOf(entry twentry.Entry) ([]byte, error) {
-	completion := twcompletion.Stored(entry.Chat, entry.Model, entry.MaxTokens)
-	return completion.Whole(entry.ID, entry.At, entry.Text, entry.Usage)
+// encodeAnswer returns the body of a stored answer. The same entry always gives the same bytes.
+func encodeAnswer(entry twentry.Entry) ([]byte, error) {
+	completion := twcompletion.ForStoredAnswer(entry.Chat, entry.Model, entry.MaxTokens)
+	return completion.EncodeAnswer(entry.ID, entry.At, entry.Text, entry.Usage)
 }
 
-func (e *Edge) cancel(c echo.Context) error {
-	entry, err := e.entry(c)
+func (e *Edge) cancelRequest(c echo.Context) error {
+	entry, err := e.readEntry(c)
 	if err != nil {
 		return err
 	}
@@ -88,8 +89,8 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// entry reads the request that the address names; another account's is not found.
-func (e *Edge) entry(c echo.Context) (twentry.Entry, error) {
+// readEntry returns the ledger entry of the request in the path. Another account's request is reported as not found.
+func (e *Edge) readEntry(c echo.Context) (twentry.Entry, error) {
 	id := c.Param("id")
 	notFound := turmericwall.NewProblem(turmericwall.KindNotFound, "no such request", "use the address from the Location header")
 	if _, ok := twentry.Partition(id); !ok {
@@ -102,20 +103,21 @@
 	return entry, err
 }
 
-// forward handles a call to a plain service.
-func (e *Edge) forward(c echo.Context) error {
-	call, err := e.serviceCall(c)
+// forwardCall handles a call to a plain service. A call that is not repeatable needs an Idempotency-Key, under which
+// it is claimed before it is sent.
+func (e *Edge) forwardCall(c echo.Context) error {
+	call, err := e.buildServiceCall(c)
 	if err != nil {
 		return err
 	}
-	idempotencyKey, err := key(c)
+	idempotencyKey, err := idempotencyKeyOf(c)
 	if err != nil {
 		return err
 	}
 	e.config.Recorder.Record(turmericwall.EventRequestAccepted).Str("request", callOf(c).id).Str("account", callOf(c).account.Name).
 		Str("service", call.Service).Str("path", call.Path).Send()
 	if call.Repeatable {
-		answer, err := e.forwardAgain(c, call)
+		answer, err := e.forwardWithRetry(c, call)
 		if err != nil {
 			return err
 		}
@@ -129,7 +131,7 @@
 		Account: callOf(c).account.Name, Service: call.Service, Key: idempotencyKey,
 		BodyHash: twclaim.HashOf(call.Method, call.Path, call.Query, call.Body),
 	}, func(ctx context.Context, beforeSend func() error) (*twclaim.Answer, error) {
-		return e.send(ctx, call, beforeSend)
+		return e.forwardOnce(ctx, call, beforeSend)
 	})
 	if err != nil {
 		return err
@@ -137,14 +139,15 @@
 	return e.writeAnswer(c, answer)
 }
 
-func (e *Edge) serviceCall(c echo.Context) (turmericwall.ServiceCall, error) {
+// buildServiceCall returns the call to forward; it fails with KindNotFound when no such plain service is declared.
+func (e *Edge) buildServiceCall(c echo.Context) (turmericwall.ServiceCall, error) {
 	name := c.Param("service")
 	service, ok := callOf(c).document.Service(name)
 	if !ok || service.Type != turmericwall.ServicePlain {
 		return turmericwall.ServiceCall{}, turmericwall.NewProblem(turmericwall.KindNotFound,
 			fmt.Sprintf("plain service %q is not declared", name), "ask the operators for the services of this environment")
 	}
-	body, err := e.body(c)
+	body, err := e.readBody(c)
 	if err != nil {
 		return turmericwall.ServiceCall{}, err
 	}
@@ -154,12 +157,13 @@
 		Header: forwardedHeader(request.Header, callOf(c)), Body: body,
 		Deadline: e.config.Clock.Now().Add(time.Duration(service.TimeoutMillis) * time.Millisecond),
 	}
-	call.Repeatable = repeatable(service, call)
+	call.Repeatable = isRepeatable(service, call)
 	return call, nil
 }
 
-// repeatable follows the declaration; a call that is not declared is repeatable only if it reads.
-func repeatable(service *turmericwall.Service, call turmericwall.ServiceCall) bool {
+// isRepeatable reports whether the call may be sent again, as declared for its method and path. Of undeclared
+// calls only GET and HEAD are repeatable.
+func isRepeatable(service *turmericwall.Service, call turmericwall.ServiceCall) bool {
 	for _, declared := range service.Calls {
 		if declared.Method == call.Method && declared.Path == call.Path {
 			return declared.Repeatable
@@ -168,7 +172,8 @@
 	return call.Method == http.MethodGet || call.Method == http.MethodHead
 }
 
-// forwardedHeader leaves out what concerns only the caller's own connection or its key.
+// forwardedHeader returns the header for the upstream: without the caller's key and the hop-by-hop fields, and with the
+// request id and the account's name.
 func forwardedHeader(header http.Header, call call) http.Header {
 	forwarded := header.Clone()
 	for _, name := range []string{
@@ -181,19 +186,21 @@
 	return forwarded
 }
 
-// forwardAgain sends a repeatable call, and once more after a failure.
-func (e *Edge) forwardAgain(c echo.Context, call turmericwall.ServiceCall) (*twclaim.Answer, error) {
-	always := func() error { return nil }
-	answer, err := e.send(c.Request().Context(), call, always)
+// forwardWithRetry sends a repeatable call, and a second time if the first failed while the caller still waits.
+func (e *Edge) forwardWithRetry(c echo.Context, call turmericwall.ServiceCall) (*twclaim.Answer, error) {
+	noCheck := func() error { return nil }
+	answer, err := e.forwardOnce(c.Request().Context(), call, noCheck)
 	if err == nil || c.Request().Context().Err() != nil {
 		return answer, err
 	}
-	return e.send(c.Request().Context(), call, always)
+	return e.forwardOnce(c.Request().Context(), call, noCheck)
 }
 
-// send forwards the call and reads the whole answer. It goes on when the caller is gone: a call that may
-// not be repeated is worth its answer.
-func (e *Edge) send(ctx context.Context, call turmericwall.ServiceCall, beforeSend func() error) (*twclaim.Answer, error) {
+// forwardOnce forwards the call and reads the complete answer. It continues until the call's deadline even if the
+// caller disconnects, since the answer of a call that can't be repeated must still be recorded.
+func (e *Edge) forwardOnce(
+	ctx context.Context, call turmericwall.ServiceCall, beforeSend func() error,
+) (*twclaim.Answer, error) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
 	defer cancel()
 	response, err := e.config.Forwarder.Forward(ctx, call, beforeSend)
--- a/internal/edge/twedge/stream.go
+++ b/internal/edge/twedge/stream.go
@@ -12,11 +12,11 @@
 	"github.com/turmericwall/turmericwall/internal/edge/twproblem"
 )
 
-// writeTimeout bounds one write to a caller that does not read.
+// writeTimeout bounds one write, for callers that stop reading.
 const writeTimeout = 20 * time.Second
 
-// stream writes server-sent events.
-type stream struct {
+// eventStream writes one completion as server-sent events.
+type eventStream struct {
 	edge       *Edge
 	response   *echo.Response
 	controller *http.ResponseController
@@ -27,56 +27,62 @@
 	started    bool
 }
 
-func newStream(edge *Edge, c echo.Context, completion *twcompletion.Completion, request turmericwall.Request) *stream {
+func newEventStream(
+	edge *Edge, c echo.Context, completion *twcompletion.Completion, request turmericwall.Request,
+) *eventStream {
 	now := edge.config.Clock.Now()
-	return &stream{
+	return &eventStream{
 		edge: edge, response: c.Response(), controller: http.NewResponseController(c.Response()),
 		completion: completion, request: request, received: now, created: now,
 	}
 }
 
-// Token writes one token.
-func (s *stream) Token(text string) error {
+// Token writes one token as an event.
+func (s *eventStream) Token(text string) error {
 	if !s.started {
-		s.start()
+		s.writeHead()
 	}
-	chunk, err := s.completion.Chunk(s.request.ID, s.created, text)
+	chunk, err := s.completion.EncodeChunk(s.request.ID, s.created, text)
 	if err != nil {
 		return err
 	}
-	return s.send(chunk)
+	return s.writeEvent(chunk)
 }
 
-func (s *stream) start() {
+// writeHead writes the status and header and records the time to the first token.
+func (s *eventStream) writeHead() {
 	s.started = true
-	s.edge.first.Update(s.edge.config.Clock.Since(s.received))
+	s.edge.firstToken.Update(s.edge.config.Clock.Since(s.received))
 	s.response.Header().Set(echo.HeaderContentType, "text/event-stream")
 	s.response.Header().Set(echo.HeaderCacheControl, "no-cache")
 	s.response.WriteHeader(http.StatusOK)
 }
 
-func (s *stream) finish(usage turmericwall.Usage) error {
+// finish writes the last chunk and the [DONE] event that marks the answer as complete.
+func (s *eventStream) finish(usage turmericwall.Usage) error {
 	if !s.started {
-		s.start()
+		s.writeHead()
 	}
-	last, err := s.completion.LastChunk(s.request.ID, s.created, usage)
+	last, err := s.completion.EncodeLastChunk(s.request.ID, s.created, usage)
 	if err != nil {
 		return err
 	}
-	if err := s.send(last); err != nil {
+	if err := s.writeEvent(last); err != nil {
 		return err
 	}
-	return s.send([]byte("[DONE]"))
+	return s.writeEvent([]byte("[DONE]"))
 }
 
-func (s *stream) fail(err error) {
-	body, encodeErr := json.Marshal(twproblem.BodyOf(twproblem.Of(err), s.request.ID, s.edge.config.Clock.Now()))
+// writeError writes the error's problem as an event. A failed write is ignored, since the request has failed already.
+func (s *eventStream) writeError(err error) {
+	body, encodeErr := json.Marshal(twproblem.NewBody(twproblem.FromError(err), s.request.ID, s.edge.config.Clock.Now()))
 	if encodeErr == nil {
-		_ = s.send(body)
+		_ = s.writeEvent(body)
 	}
 }
 
-func (s *stream) send(data []byte) error {
+// writeEvent writes and flushes one event.
+func (s *eventStream) writeEvent(data []byte) error {
 	_ = s.controller.SetWriteDeadline(s.edge.config.Clock.Now().Add(writeTimeout))
 	event := make([]byte, 0, len(data)+len("data: \n\n"))
 	event = append(event, "data: "...)
--- a/internal/edge/twproblem/writer.go
+++ b/internal/edge/twproblem/writer.go
@@ -1,4 +1,5 @@
-// Package twproblem writes problems in the form of RFC 9457.
+// Package twproblem writes a problem as an HTTP answer in the format of RFC 9457 (problem details). The edge uses it
+// for every call that is refused or fails, also inside a stream of events.
 package twproblem
 
 import (
@@ -12,10 +13,10 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// MediaType is the media type of a problem.
+// MediaType is the Content-Type of a problem.
 const MediaType = "application/problem+json"
 
-// Body is a problem as callers see it; error repeats it where clients of completions look for it.
+// Body is the JSON body of a problem. The error field repeats the problem where clients of completions look for it.
 type Body struct {
 	Type             string               `json:"type"`
 	Title            string               `json:"title"`
@@ -29,14 +30,14 @@
 	Error            Error                `json:"error"`
 }
 
-// Error is what clients of completions read.
+// Error is the error object that clients of completions read.
 type Error struct {
 	Message string            `json:"message"`
 	Type    string            `json:"type"`
 	Code    turmericwall.Kind `json:"code"`
 }
 
-var statuses = map[turmericwall.Kind]int{
+var statusByKind = map[turmericwall.Kind]int{
 	turmericwall.KindBadRequest:       http.StatusBadRequest,
 	turmericwall.KindUnauthorized:     http.StatusUnauthorized,
 	turmericwall.KindForbidden:        http.StatusForbidden,
@@ -54,8 +55,8 @@
 	turmericwall.KindNotReady:         http.StatusServiceUnavailable,
 }
 
-// Of returns the problem in the error, or one that says the outcome is not known.
-func Of(err error) *turmericwall.Problem {
+// FromError returns the problem that the error wraps, or else one whose outcome is unknown.
+func FromError(err error) *turmericwall.Problem {
 	var p *turmericwall.Problem
 	if errors.As(err, &p) {
 		return p
@@ -64,37 +65,38 @@
 		WithOutcome(turmericwall.OutcomeUnknown).WithCause(err)
 }
 
-// Status is the HTTP status of the problem.
-func Status(p *turmericwall.Problem) int {
-	status, ok := statuses[p.Kind()]
+// HTTPStatus returns the HTTP status of the problem's kind, or 500 for a kind that callers should not meet.
+func HTTPStatus(p *turmericwall.Problem) int {
+	status, ok := statusByKind[p.Kind()]
 	if !ok {
 		return http.StatusInternalServerError
 	}
 	return status
 }
 
-// BodyOf returns the problem's body.
-func BodyOf(p *turmericwall.Problem, request string, now time.Time) Body {
-	b := Body{
+// NewBody returns the problem's body. retryAfterMillis counts from now and is at least 1 if the problem has a retry
+// time.
+func NewBody(p *turmericwall.Problem, requestID string, now time.Time) Body {
+	body := Body{
 		Type:    "urn:turmericwall:problem:" + string(p.Kind()),
-		Title:   http.StatusText(Status(p)),
-		Status:  Status(p),
+		Title:   http.StatusText(HTTPStatus(p)),
+		Status:  HTTPStatus(p),
 		Detail:  p.Detail(),
 		Kind:    p.Kind(),
 		Remedy:  p.Remedy(),
 		Outcome: p.Outcome(),
-		Request: request,
+		Request: requestID,
 		Error:   Error{Message: p.Detail() + "; " + p.Remedy(), Type: "turmericwall", Code: p.Kind()},
 	}
 	if !p.RetryAt().IsZero() {
-		b.RetryAfterMillis = max(1, p.RetryAt().Sub(now).Milliseconds())
+		body.RetryAfterMillis = max(1, p.RetryAt().Sub(now).Milliseconds())
 	}
-	return b
+	return body
 }
 
-// Write answers with the problem.
-func Write(w http.ResponseWriter, p *turmericwall.Problem, request string, now time.Time) {
-	body := BodyOf(p, request, now)
+// Write answers with the problem. Retry-After is in whole seconds, rounded up, so that no caller retries too early.
+func Write(w http.ResponseWriter, p *turmericwall.Problem, requestID string, now time.Time) {
+	body := NewBody(p, requestID, now)
 	w.Header().Set("Content-Type", MediaType)
 	if body.RetryAfterMillis > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(body.RetryAfterMillis)/1000))))
--- a/internal/operations/twdaemon/daemon.go
+++ b/internal/operations/twdaemon/daemon.go
@@ -208,7 +208,7 @@
 	d.recorder.Record(turmericwall.EventDrainStarted).Int("inFlight", d.edge.InFlight()).Send()
 	d.ledger.Drain()
 	d.exchange.Drain(ctx)
-	d.edge.Announce()
+	d.edge.DisableKeepAlives()
 	d.clock.Sleep(d.settings.NoticeDeadline(now).Sub(d.clock.Now()))
 	err := d.edge.Drain(ctx)
 	d.awaitIdle(ctx)
