--- a/internal/operations/twdaemon/build.go
+++ b/internal/operations/twdaemon/build.go
@@ -35,24 +35,25 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twvmlist"
 )
 
-// security is the TLS set-up of the daemon's listeners and peer calls.
-type security struct {
+// transportSecurity is the TLS configuration of the daemon's listeners and of its calls to peers. The callers'
+// configuration is nil when the daemon runs in plain text.
+type transportSecurity struct {
 	callers    *tls.Config
 	peerServer credentials.TransportCredentials
 	peerClient credentials.TransportCredentials
 }
 
-// build makes the slices, each from those it works with.
+// build constructs the daemon's components, each after those that it depends on.
 func (d *Daemon) build(config Config, incarnation string) error {
 	s := config.Settings
-	secured, err := d.secure()
+	security, err := d.loadSecurity()
 	if err != nil {
 		return err
 	}
 	d.recorder = tweventlog.New(tweventlog.Config{Output: config.Output, Daemon: s.Name, Level: s.LogLevel, Trace: d.trace})
 	client := twhttp.New(twhttp.Config{Address: s.Platform, Registry: d.registry})
 	table := twtable.New(client)
-	d.buildMembership(client, table, incarnation, secured)
+	d.buildMembership(client, table, incarnation, security)
 	d.committer = twgroup.New(twgroup.Config{
 		Table: table, Registry: d.registry, Recorder: d.recorder, Daemons: func() int { return len(d.exchange.Leaders()) },
 	})
@@ -61,38 +62,41 @@
 	d.buildClaims(table, incarnation, registry)
 	d.ledger = twledger.New(twledger.Config{
 		Incarnation: incarnation, Table: table, Writer: d.committer, Objects: twobject.New(client), Peers: d.exchange,
-		Documents: d.holder, Deliverer: d.delivery, Clock: d.clock, Recorder: d.recorder,
+		Documents: d.documents, Deliverer: d.delivery, Clock: d.clock, Recorder: d.recorder,
 	})
-	d.buildListeners(secured, registry)
+	d.buildListeners(security, registry)
 	return nil
 }
 
-func (d *Daemon) secure() (security, error) {
+// loadSecurity reads the certificates that the settings name; it fails when one of them can't be read.
+func (d *Daemon) loadSecurity() (transportSecurity, error) {
 	if d.settings.PlainText {
 		plain := insecure.NewCredentials()
-		return security{peerServer: plain, peerClient: plain}, nil
+		return transportSecurity{peerServer: plain, peerClient: plain}, nil
 	}
 	source, err := twcertificate.New(d.settings.TLS)
 	if err != nil {
-		return security{}, err
+		return transportSecurity{}, err
 	}
-	return security{
+	return transportSecurity{
 		callers:    source.Server(),
 		peerServer: credentials.NewTLS(source.PeerServer()),
 		peerClient: credentials.NewTLS(source.PeerClient()),
 	}, nil
 }
 
-func (d *Daemon) buildMembership(client *twhttp.Client, table turmericwall.Table, incarnation string, secured security) {
+func (d *Daemon) buildMembership(
+	client *twhttp.Client, table turmericwall.Table, incarnation string, security transportSecurity,
+) {
 	d.fleet = twfleet.New(twfleet.Config{Lister: twvmlist.New(client), Clock: d.clock, Recorder: d.recorder})
-	d.holder = twrevision.New(twrevision.Config{
+	d.documents = twrevision.New(twrevision.Config{
 		Publisher: twpublisher.New(twpublisher.Config{Table: table, Environment: d.settings.Environment}),
 		Clock:     d.clock, Recorder: d.recorder,
 	})
-	d.dialer = twdialer.New(twdialer.Config{Credentials: secured.peerClient, Registry: d.registry})
+	d.dialer = twdialer.New(twdialer.Config{Credentials: security.peerClient, Registry: d.registry})
 	d.exchange = twexchange.New(twexchange.Config{
 		Incarnation: incarnation, Address: d.PeersAddress(), Zone: d.settings.Zone, Seeds: d.settings.Seeds,
-		Dialer: d.dialer, Fleet: d.fleet, Holder: d.holder, Clock: d.clock, Recorder: d.recorder,
+		Dialer: d.dialer, Fleet: d.fleet, Holder: d.documents, Clock: d.clock, Recorder: d.recorder,
 	})
 }
 
@@ -101,9 +105,9 @@
 	d.canceller = twcanceller.New(twcanceller.Config{Engines: engines, Clock: d.clock, Recorder: d.recorder})
 	d.leader = twleader.New(twleader.Config{
 		NewPolicy: func() turmericwall.Policy { return twpolicy.New(d.settings.Policy) },
-		Duties:    d.duties,
+		Duties:    d.ledServices,
 		Links:     d.links,
-		Engines:   engines, Fleet: d.fleet, Peers: d.exchange, Holder: holder{d}, Canceller: d.canceller,
+		Engines:   engines, Fleet: d.fleet, Peers: d.exchange, Holder: attemptHolder{d}, Canceller: d.canceller,
 		Clock: d.clock, Recorder: d.recorder, Registry: d.registry,
 	})
 	d.router = twrouter.New(twrouter.Config{
@@ -115,10 +119,11 @@
 	})
 }
 
-// holder breaks the circle between leader and delivery: the leader asks what the delivery still wants.
-type holder struct{ d *Daemon }
+// attemptHolder breaks the cyclic dependency between leader and delivery: the leader asks the delivery which attempts
+// it still wants, but is constructed before it.
+type attemptHolder struct{ d *Daemon }
 
-func (h holder) Wanted(attempts []string) []string { return h.d.delivery.Wanted(attempts) }
+func (h attemptHolder) Wanted(attempts []string) []string { return h.d.delivery.Wanted(attempts) }
 
 func (d *Daemon) buildClaims(table turmericwall.Table, incarnation string, registry *twattempt.Registry) {
 	d.claims = twclaim.New(twclaim.Config{
@@ -127,39 +132,39 @@
 	})
 }
 
-func (d *Daemon) buildListeners(secured security, registry *twattempt.Registry) {
+func (d *Daemon) buildListeners(security transportSecurity, registry *twattempt.Registry) {
 	d.edge = twedge.New(twedge.Config{
-		Documents: d.holder, Peers: d.exchange, Deliverer: d.delivery,
+		Documents: d.documents, Peers: d.exchange, Deliverer: d.delivery,
 		Forwarder: twforward.New(twforward.Config{Fleet: d.fleet, Clock: d.clock, Recorder: d.recorder}),
 		Claims:    d.claims, Ledger: d.ledger, Limiter: twlimiter.New(), MaxBodyBytes: d.settings.MaxBodyBytes,
-		TLS: secured.callers, Clock: d.clock, Recorder: d.recorder, Registry: d.registry,
+		TLS: security.callers, Clock: d.clock, Recorder: d.recorder, Registry: d.registry,
 	})
 	d.peers = twserver.New(twserver.Config{
-		Credentials: secured.peerServer, Stats: d.dialer.StatsHandler(), Clock: d.clock, Exchange: d.exchange, Fleet: d.fleet,
-		Documents: d.holder, Leader: d.leader, Attempts: registry, Holder: d.delivery,
+		Credentials: security.peerServer, Stats: d.dialer.StatsHandler(), Clock: d.clock, Exchange: d.exchange,
+		Fleet: d.fleet, Documents: d.documents, Leader: d.leader, Attempts: registry, Holder: d.delivery,
 	})
 	d.operations = twoperations.New(twoperations.Config{
 		Status: d.status, Drain: d.requestDrain, Trace: d.trace, Registry: d.registry,
 	})
 }
 
-// duties returns the engine services that this daemon keeps.
-func (d *Daemon) duties() []string {
-	document, ok := d.holder.Current()
+// ledServices returns the engine services that this daemon leads; none while no document is known.
+func (d *Daemon) ledServices() []string {
+	document, ok := d.documents.Current()
 	if !ok {
 		return nil
 	}
-	var kept []string
+	var led []string
 	for _, s := range document.Services() {
 		if s.Type == turmericwall.ServiceEngines && d.router.LeaderOf(s.Name) == d.exchange.Self() {
-			kept = append(kept, s.Name)
+			led = append(led, s.Name)
 		}
 	}
-	return kept
+	return led
 }
 
 func (d *Daemon) links() []turmericwall.Link {
-	document, ok := d.holder.Current()
+	document, ok := d.documents.Current()
 	if !ok {
 		return nil
 	}
--- a/internal/operations/twdaemon/daemon.go
+++ b/internal/operations/twdaemon/daemon.go
@@ -1,4 +1,5 @@
-// Package twdaemon puts the slices of one daemon together and runs them.
+// Package twdaemon constructs the components of one daemon and runs them, from opening the listeners to the drain. It
+// decides which components must outlive the callers' listener, so that requests in flight are still answered.
 package twdaemon
 
 import (
@@ -33,23 +34,23 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twgroup"
 )
 
-// Daemon is everything between callers and upstreams on one VM.
+// Daemon is one router process: all components between callers and upstreams on one VM.
 type Daemon struct {
-	settings twsettings.Settings
-	clock    clockwork.Clock
-	recorder turmericwall.Recorder
-	registry metrics.Registry
-	trace    *twtrace.Trace
-	draining atomic.Bool
-	drain    chan struct{}
-	// alive ends when the daemon is killed.
+	settings       twsettings.Settings
+	clock          clockwork.Clock
+	recorder       turmericwall.Recorder
+	registry       metrics.Registry
+	trace          *twtrace.Trace
+	draining       atomic.Bool
+	drainRequested chan struct{}
+	// alive is cancelled when the daemon is killed.
 	alive context.Context
 	kill  context.CancelFunc
 
 	listeners  listeners
 	fleet      *twfleet.Fleet
 	committer  *twgroup.Committer
-	holder     *twrevision.Holder
+	documents  *twrevision.Holder
 	dialer     *twdialer.Dialer
 	exchange   *twexchange.Exchange
 	canceller  *twcanceller.Canceller
@@ -63,7 +64,7 @@
 	operations *twoperations.Server
 }
 
-// Config is what a daemon is made from.
+// Config holds the settings of a daemon, its log output and its clock.
 type Config struct {
 	Settings twsettings.Settings
 	// Output receives the log.
@@ -77,21 +78,23 @@
 	operations net.Listener
 }
 
+// incarnationBase is the base in which the start time is written into the incarnation.
 const incarnationBase = 36
 
-// New opens the daemon's listeners and builds its slices.
+// New opens the daemon's listeners and constructs its components. It fails when an address can't be listened on or a
+// certificate can't be read; Run then starts the daemon.
 func New(config Config) (*Daemon, error) {
-	opened, err := listen(config.Settings)
+	opened, err := openListeners(config.Settings)
 	if err != nil {
 		return nil, err
 	}
 	d := &Daemon{
-		settings:  config.Settings,
-		clock:     config.Clock,
-		registry:  metrics.NewRegistry(),
-		trace:     twtrace.New(),
-		drain:     make(chan struct{}, 1),
-		listeners: opened,
+		settings:       config.Settings,
+		clock:          config.Clock,
+		registry:       metrics.NewRegistry(),
+		trace:          twtrace.New(),
+		drainRequested: make(chan struct{}, 1),
+		listeners:      opened,
 	}
 	d.alive, d.kill = context.WithCancel(context.Background())
 	incarnation := config.Settings.Name + ":" + strconv.FormatInt(config.Clock.Now().UnixNano(), incarnationBase)
@@ -102,42 +105,43 @@
 	return d, nil
 }
 
-// CallersAddress is the callers' listener.
+// CallersAddress returns the IP:port of the callers' listener.
 func (d *Daemon) CallersAddress() string { return d.listeners.callers.Addr().String() }
 
-// PeersAddress is the peers' listener.
+// PeersAddress returns the IP:port of the peers' listener.
 func (d *Daemon) PeersAddress() string { return d.listeners.peers.Addr().String() }
 
-// OperationsAddress is the operators' listener.
+// OperationsAddress returns the IP:port of the operators' listener.
 func (d *Daemon) OperationsAddress() string { return d.listeners.operations.Addr().String() }
 
-// Kill ends the daemon without a drain, as the loss of its VM would.
+// Kill stops the daemon without a drain, as if its VM had failed.
 func (d *Daemon) Kill() { d.kill() }
 
-// Run serves until ctx ends or an operator asks for a drain, then finishes what it has begun.
+// Run serves until ctx ends or an operator asks for a drain, then drains and stops. It returns the first error of a
+// component.
 func (d *Daemon) Run(ctx context.Context) error {
-	// The base outlives ctx: requests under way need it until they are answered.
-	base := twtask.New(d.alive)
-	d.startBase(base)
-	front := twtask.New(d.alive)
-	front.Start("ledger", d.ledger.Run)
-	front.Start("callers", func(ctx context.Context) error { return d.edge.Serve(ctx, d.listeners.callers) })
+	// The background tasks outlive ctx, since requests in flight need them until they are answered.
+	background := twtask.New(d.alive)
+	d.startBackground(background)
+	serving := twtask.New(d.alive)
+	serving.Start("ledger", d.ledger.Run)
+	serving.Start("callers", func(ctx context.Context) error { return d.edge.Serve(ctx, d.listeners.callers) })
 	d.recorder.Record(turmericwall.EventStarted).Str("callers", d.CallersAddress()).Str("peers", d.PeersAddress()).
 		Str("operations", d.OperationsAddress()).Send()
 	select {
 	case <-ctx.Done():
-	case <-d.drain:
-	case <-front.Context().Done():
-	case <-base.Context().Done():
+	case <-d.drainRequested:
+	case <-serving.Context().Done():
+	case <-background.Context().Done():
 	}
 	if d.alive.Err() == nil {
-		d.finish()
+		d.shutDown()
 	}
-	front.Stop()
-	err := front.Wait()
-	base.Stop()
-	if baseErr := base.Wait(); err == nil {
-		err = baseErr
+	serving.Stop()
+	err := serving.Wait()
+	background.Stop()
+	if backgroundErr := background.Wait(); err == nil {
+		err = backgroundErr
 	}
 	d.dialer.Close()
 	if err != nil {
@@ -146,11 +150,12 @@
 	return err
 }
 
-const readyCheck = 50 * time.Millisecond
+// readyPollInterval is the time between two checks for readiness after the start.
+const readyPollInterval = 50 * time.Millisecond
 
-// awaitReady notes when the daemon is ready for the first time.
-func (d *Daemon) awaitReady(ctx context.Context) error {
-	ticker := d.clock.NewTicker(readyCheck)
+// recordReady records an event once the daemon is ready for the first time.
+func (d *Daemon) recordReady(ctx context.Context) error {
+	ticker := d.clock.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
 		if s := d.status(); s.Ready {
@@ -165,30 +170,34 @@
 	}
 }
 
-func (d *Daemon) startBase(base *twtask.Group) {
-	base.Start("platform writes", d.committer.Run)
-	base.Start("vm list", d.fleet.Run)
-	base.Start("readiness", d.awaitReady)
-	base.Start("document", d.holder.Run)
-	base.Start("heartbeats", d.runExchange)
-	base.Start("peers", func(ctx context.Context) error { return d.peers.Serve(ctx, d.listeners.peers) })
-	base.Start("leader", d.leader.Run)
-	base.Start("lost peers", d.followLost)
-	base.Start("endings", d.router.Run)
-	base.Start("cancels", d.canceller.Run)
-	base.Start("claims", d.claims.Run)
-	base.Start("operations", func(ctx context.Context) error { return d.operations.Serve(ctx, d.listeners.operations) })
+// startBackground starts the tasks that run until the drain has ended.
+func (d *Daemon) startBackground(background *twtask.Group) {
+	background.Start("platform writes", d.committer.Run)
+	background.Start("vm list", d.fleet.Run)
+	background.Start("readiness", d.recordReady)
+	background.Start("document", d.documents.Run)
+	background.Start("heartbeats", d.runExchange)
+	background.Start("peers", func(ctx context.Context) error { return d.peers.Serve(ctx, d.listeners.peers) })
+	background.Start("leader", d.leader.Run)
+	background.Start("lost peers", d.reportLostPeers)
+	background.Start("endings", d.router.Run)
+	background.Start("cancels", d.canceller.Run)
+	background.Start("claims", d.claims.Run)
+	background.Start("operations", func(ctx context.Context) error {
+		return d.operations.Serve(ctx, d.listeners.operations)
+	})
 }
 
-// runExchange asks all peers once before the regular heartbeats: with the platform down this is how a
-// new VM learns the configuration.
+// runExchange queries all peers once before the regular heartbeats start: while the platform is unreachable, this
+// is how a new VM obtains the configuration.
 func (d *Daemon) runExchange(ctx context.Context) error {
 	_ = d.fleet.Refresh(ctx)
 	d.exchange.Meet(ctx)
 	return d.exchange.Run(ctx)
 }
 
-func (d *Daemon) followLost(ctx context.Context) error {
+// reportLostPeers reports each lost incarnation to the leader, which releases what that daemon had reserved.
+func (d *Daemon) reportLostPeers(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -199,8 +208,9 @@
 	}
 }
 
-// finish takes no new work, tells everybody, and waits for what is under way.
-func (d *Daemon) finish() {
+// shutDown drains the daemon. It stops taking deferrable work, announces the drain to peers and callers, closes the
+// callers' listener after the notice period, and waits for work in flight until the drain deadline.
+func (d *Daemon) shutDown() {
 	now := d.clock.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), d.settings.DrainDeadline(now))
 	defer cancel()
@@ -212,22 +222,26 @@
 	d.clock.Sleep(d.settings.NoticeDeadline(now).Sub(d.clock.Now()))
 	err := d.edge.Drain(ctx)
 	d.awaitIdle(ctx)
-	d.recorder.Record(turmericwall.EventDrainEnded).Int("inFlight", d.edge.InFlight()).Int("deferrable", int64(d.ledger.Running())).Err(err).Send()
+	d.recorder.Record(turmericwall.EventDrainEnded).Int("inFlight", d.edge.InFlight()).
+		Int("deferrable", int64(d.ledger.Running())).Err(err).Send()
 }
 
-const idleCheck = 20 * time.Millisecond
+// idlePollInterval is the time between two checks for remaining work during a drain.
+const idlePollInterval = 20 * time.Millisecond
 
-// awaitIdle waits for deferrable work, records and cancels.
+// awaitIdle waits until no deferrable request is running, no claim is unrecorded and no cancel is pending, or until ctx
+// ends.
 func (d *Daemon) awaitIdle(ctx context.Context) {
 	for ctx.Err() == nil {
 		if d.ledger.Running() == 0 && d.claims.Unrecorded() == 0 && d.canceller.Pending() == 0 {
 			return
 		}
-		d.clock.Sleep(idleCheck)
+		d.clock.Sleep(idlePollInterval)
 	}
 }
 
-func listen(settings twsettings.Settings) (listeners, error) {
+// openListeners opens all listeners of the settings, or none if one of them fails.
+func openListeners(settings twsettings.Settings) (listeners, error) {
 	var opened listeners
 	var err error
 	if opened.callers, err = net.Listen("tcp", settings.Callers); err != nil {
--- a/internal/operations/twdaemon/status.go
+++ b/internal/operations/twdaemon/status.go
@@ -6,7 +6,8 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twoperations"
 )
 
-// status collects the daemon's state.
+// status returns the daemon's state for operators. The daemon is ready when it knows a document and the VM list and is
+// not draining.
 func (d *Daemon) status() twoperations.Status {
 	s := twoperations.Status{
 		Incarnation: d.exchange.Self(),
@@ -18,23 +19,25 @@
 		Deferrable:  d.ledger.Running(),
 		Cancels:     d.canceller.Pending(),
 		Unrecorded:  d.claims.Unrecorded(),
-		Answered:    d.count("requests.answered"),
-		Failed:      d.count("requests.failed"),
-		Keeps:       d.duties(),
+		Answered:    d.counterValue("requests.answered"),
+		Failed:      d.counterValue("requests.failed"),
+		Keeps:       d.ledServices(),
 	}
-	if document, ok := d.holder.Current(); ok {
+	if document, ok := d.documents.Current(); ok {
 		s.Revision, s.Digest = document.Revision(), document.Digest()
 		s.Ready = !s.Draining && d.fleet.Known()
 	}
-	for _, b := range d.exchange.Members()[1:] {
+	for _, heartbeat := range d.exchange.Members()[1:] {
 		s.Peers = append(s.Peers, twoperations.PeerStatus{
-			Incarnation: b.GetIncarnation(), Address: b.GetAddress(), Revision: b.GetRevision(), Draining: b.GetDraining(),
+			Incarnation: heartbeat.GetIncarnation(), Address: heartbeat.GetAddress(),
+			Revision: heartbeat.GetRevision(), Draining: heartbeat.GetDraining(),
 		})
 	}
 	return s
 }
 
-func (d *Daemon) count(name string) int64 {
+// counterValue returns the counter's value, or 0 when it was never counted.
+func (d *Daemon) counterValue(name string) int64 {
 	counter, ok := d.registry.Get(name).(metrics.Counter)
 	if !ok {
 		return 0
@@ -42,10 +45,10 @@
 	return counter.Count()
 }
 
-// requestDrain starts a graceful shutdown; a second request changes nothing.
+// requestDrain starts a graceful shutdown; further requests have no effect.
 func (d *Daemon) requestDrain() {
 	select {
-	case d.drain <- struct{}{}:
+	case d.drainRequested <- struct{}{}:
 	default:
 	}
 }
