--- a/internal/operations/twsettings/settings.go
+++ b/internal/operations/twsettings/settings.go
@@ -1,4 +1,5 @@
-// Package twsettings reads and checks a daemon's own settings.
+// Package twsettings reads a daemon's own settings from a file, fills in the defaults and checks each field. A daemon
+// reads them once, before it opens its listeners; what all daemons of an environment share is in the document instead.
 package twsettings
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twstrict"
 )
 
-// Defaults of what a settings file may leave out.
+// Defaults of optional settings.
 const (
 	defaultDrainMillis  = 60_000
 	defaultNoticeMillis = 3_000
@@ -35,43 +36,45 @@
 	Operations string `json:"operations"`
 	// Platform is the base URL of the platform's service.
 	Platform string `json:"platform"`
-	// Seeds are peer listeners to ask when the platform's VM list can't be read.
+	// Seeds are the addresses (IP:port) of peers to contact while the platform's VM list can't be read.
 	Seeds []string `json:"seeds,omitempty"`
-	// PlainText must be true where no TLS files are given.
+	// PlainText allows connections without TLS; it must be true if TLS names no files, and only then.
 	PlainText bool `json:"plainText,omitempty"`
 	// TLS names the certificate files.
 	TLS TLS `json:"tls,omitzero"`
 	// DrainMillis bounds a graceful shutdown, in milliseconds.
 	DrainMillis int64 `json:"drainMillis,omitempty"`
-	// NoticeMillis is the time between not being ready and closing the callers' listener, so that the
-	// balancer notices first; in milliseconds.
+	// NoticeMillis is how long a draining daemon still accepts callers after it has stopped being ready, so that the
+	// load balancer stops sending to it first; in milliseconds.
 	NoticeMillis *int64 `json:"noticeMillis,omitempty"`
-	// MaxBodyBytes bounds one request's body.
+	// MaxBodyBytes bounds one request's body, in bytes.
 	MaxBodyBytes int64 `json:"maxBodyBytes,omitempty"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"logLevel,omitempty"`
-	// Policy is leader, or for comparison alone, or one of the baselines roundRobin, leastLoaded, prefixAffinity.
+	// Policy is leader, which places calls through the service's leader. For comparisons it is alone (each daemon
+	// places its own calls) or one of the baselines roundRobin, leastLoaded and prefixAffinity.
 	Policy string `json:"policy,omitempty"`
 }
 
-// TLS names the files of one daemon's certificates, in PEM. They are read again when they change.
+// TLS names the PEM files of one daemon's certificate. They are read again when they change.
 type TLS struct {
 	Certificate string `json:"certificate,omitempty"`
 	Key         string `json:"key,omitempty"`
-	// PeerAuthority signs the certificates of all daemons.
+	// PeerAuthority is the file of the certificate authority that signs the certificates of all daemons.
 	PeerAuthority string `json:"peerAuthority,omitempty"`
 }
 
-// Load reads, completes and checks the settings in a file.
+// Load reads the settings from a file, as Parse does.
 func Load(path string) (Settings, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, fmt.Errorf("read the settings, give their path with --settings: %w", err)
+		return Settings{}, fmt.Errorf("read the settings file, check the path given with --settings: %w", err)
 	}
 	return Parse(path, source)
 }
 
-// Parse completes and checks settings; name stands for the source in errors.
+// Parse decodes settings, sets the defaults of missing fields and checks the result. It fails with KindInvalidSettings;
+// the error names the source by name, the line or field, and the remedy.
 func Parse(name string, source []byte) (Settings, error) {
 	var s Settings
 	if err := twstrict.New(name, turmericwall.KindInvalidSettings).Decode(source, &s); err != nil {
@@ -84,12 +87,12 @@
 	return s, nil
 }
 
-// DrainDeadline is when a graceful shutdown that starts now must have ended.
+// DrainDeadline returns when a graceful shutdown that starts now must have ended.
 func (s Settings) DrainDeadline(now time.Time) time.Time {
 	return now.Add(time.Duration(s.DrainMillis) * time.Millisecond)
 }
 
-// NoticeDeadline is when a daemon that stops being ready now may close its listener.
+// NoticeDeadline returns when a daemon that stops being ready now may close its callers' listener.
 func (s Settings) NoticeDeadline(now time.Time) time.Time {
 	return now.Add(time.Duration(*s.NoticeMillis) * time.Millisecond)
 }
@@ -113,6 +116,7 @@
 	}
 }
 
+// check returns a problem for the first invalid field. Each check returns the field and what is wrong with it.
 func (s *Settings) check(name string) error {
 	checks := []func() (field, fault string){
 		s.checkNames, s.checkListeners, s.checkPlatform, s.checkTLS, s.checkLimits, s.checkChoices,
@@ -145,10 +149,10 @@
 	for _, l := range listeners {
 		host, _, err := net.SplitHostPort(l.value)
 		if err != nil {
-			return l.field, "is not IP:port"
+			return l.field, "is not an address of the form IP:port"
 		}
 		if net.ParseIP(host) == nil {
-			return l.field, "names a host; daemons listen on IP numbers"
+			return l.field, "is a host name; daemons listen on IP addresses"
 		}
 	}
 	return "", ""
@@ -181,7 +185,7 @@
 		return "drainMillis", "is negative"
 	}
 	if *s.NoticeMillis < 0 || *s.NoticeMillis >= s.DrainMillis {
-		return "noticeMillis", "must lie between 0 and drainMillis"
+		return "noticeMillis", "must be at least 0 and less than drainMillis"
 	}
 	if s.MaxBodyBytes < 0 {
 		return "maxBodyBytes", "is negative"
