--- a/internal/operations/twstrict/decoder.go
+++ b/internal/operations/twstrict/decoder.go
@@ -1,4 +1,5 @@
-// Package twstrict decodes JSON with comments and refuses what it does not know.
+// Package twstrict decodes JSON with comments and trailing commas, and rejects unknown fields. Settings and documents
+// are read with it, so that a misspelt field stops a daemon or an upload instead of being ignored.
 package twstrict
 
 import (
@@ -14,55 +15,58 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Decoder decodes one source.
+// Decoder decodes one source, such as a file.
 type Decoder struct {
 	name string
 	kind turmericwall.Kind
 }
 
-// New returns a decoder whose errors have the kind and name the source.
+// New returns a decoder for the source of that name; its errors have the kind and start with the name.
 func New(name string, kind turmericwall.Kind) *Decoder { return &Decoder{name: name, kind: kind} }
 
-// Decode reads the source into target. Its error names file, line and remedy.
+// Decode reads the source into target. It fails with a problem that names the source, the line and the remedy.
 func (d *Decoder) Decode(source []byte, target any) error {
 	plain, err := hujson.Standardize(bytes.Clone(source))
 	if err != nil {
-		return d.problem(err.Error(), "correct the JSON at the named line")
+		return d.newProblem(err.Error(), "correct the JSON at the named line")
 	}
 	decoder := json.NewDecoder(bytes.NewReader(plain))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
-		return d.problem(fmt.Sprintf("line %d: %v", line(plain, offset(decoder, plain, err)), err), "use a field and type that the configuration page lists")
+		return d.newProblem(fmt.Sprintf("line %d: %v", lineNumber(plain, errorOffset(decoder, plain, err)), err),
+			"use a field and type that the configuration page lists")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return d.problem(fmt.Sprintf("line %d: text after the end", line(plain, decoder.InputOffset())), "keep one object in the file")
+		return d.newProblem(fmt.Sprintf("line %d: text after the end", lineNumber(plain, decoder.InputOffset())),
+			"keep one object in the file")
 	}
 	return nil
 }
 
-func (d *Decoder) problem(detail, remedy string) error {
+func (d *Decoder) newProblem(detail, remedy string) error {
 	return turmericwall.NewProblem(d.kind, d.name+": "+detail, remedy)
 }
 
-var unknownField = regexp.MustCompile(`unknown field ("[^"]*")`)
+var unknownFieldPattern = regexp.MustCompile(`unknown field ("[^"]*")`)
 
-// offset finds the place of the error. The library reads a whole object before it speaks of an unknown
-// field, so the place of that is looked up by the field's name.
-func offset(decoder *json.Decoder, source []byte, err error) int64 {
+// errorOffset returns the offset of a decoding error, in bytes. The library reports an unknown field only after it has
+// read the whole object, so that its offset is found by searching for the field's name.
+func errorOffset(decoder *json.Decoder, source []byte, err error) int64 {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		return wrongType.Offset
 	}
-	if found := unknownField.FindStringSubmatch(err.Error()); found != nil {
-		key := regexp.MustCompile(regexp.QuoteMeta(found[1]) + `\s*:`)
-		if place := key.FindIndex(source); place != nil {
-			return int64(place[0])
+	if match := unknownFieldPattern.FindStringSubmatch(err.Error()); match != nil {
+		key := regexp.MustCompile(regexp.QuoteMeta(match[1]) + `\s*:`)
+		if span := key.FindIndex(source); span != nil {
+			return int64(span[0])
 		}
 	}
 	return decoder.InputOffset()
 }
 
-func line(source []byte, offset int64) int {
+// lineNumber returns the line of an offset in bytes; the first line is 1.
+func lineNumber(source []byte, offset int64) int {
 	end := min(int(offset), len(source))
 	return 1 + bytes.Count(source[:end], []byte("\n"))
 }
