--- a/internal/operations/tweventlog/log.go
+++ b/internal/operations/tweventlog/log.go
@@ -1,4 +1,5 @@
-// Package tweventlog writes numbered log events as JSON lines.
+// Package tweventlog writes a daemon's numbered log events as JSON lines, as docs/EVENTS.md lists them. Events that
+// carry a request id are also kept in a trace, from which operators can have one request explained.
 package tweventlog
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twtrace"
 )
 
-// requestField is the field that ties a line to a request.
+// requestField is the field with the request id, by which lines are assigned to a request.
 const requestField = "request"
 
 // Log writes one line for each recorded event.
@@ -21,42 +22,44 @@
 	trace  *twtrace.Trace
 }
 
-// Config says where the log goes and what is left out.
+// Config holds the output, the level and the trace of a log.
 type Config struct {
 	Output io.Writer
-	// Daemon is the name that each line carries.
+	// Daemon is the daemon's name, which is written into each line.
 	Daemon string
-	// Level is debug, info, warn or error.
+	// Level is the lowest level that is written: debug, info, warn or error. Events have the level info.
 	Level string
-	// Trace keeps the lines of recent requests; nil keeps none.
+	// Trace receives the lines of requests; it may be nil.
 	Trace *twtrace.Trace
 }
 
-// New returns a log; an unknown level counts as info.
+// New returns a log; an empty or unknown level is taken as info.
 func New(config Config) *Log {
 	level, err := zerolog.ParseLevel(config.Level)
 	if err != nil || config.Level == "" {
 		level = zerolog.InfoLevel
 	}
-	logger := zerolog.New(config.Output).Level(level).Hook(stamp{}).With().Str("daemon", config.Daemon).Logger()
+	logger := zerolog.New(config.Output).Level(level).Hook(timestampHook{}).With().Str("daemon", config.Daemon).Logger()
 	return &Log{logger: logger, trace: config.Trace}
 }
 
-// Record starts the line of an event.
+// Record starts the line of an event; Send writes it.
 func (l *Log) Record(event turmericwall.EventID) turmericwall.LogEntry {
 	return &entry{trace: l.trace, event: l.logger.Info().Int("event", int(event)), id: event}
 }
 
-// stamp adds the time, to the millisecond: decisions follow each other within a second.
-type stamp struct{}
+// timestampHook adds the time in UTC. It has milliseconds, since the decisions on a request follow each other within a
+// second.
+type timestampHook struct{}
 
 const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
 // Run adds the time to an event.
-func (stamp) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+func (timestampHook) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Str("time", time.Now().UTC().Format(timeLayout))
 }
 
+// entry is one event whose fields are being collected.
 type entry struct {
 	trace   *twtrace.Trace
 	event   *zerolog.Event
@@ -71,17 +74,17 @@
 		e.request = value
 		return e
 	}
-	return e.keep(key, value)
+	return e.addTraceField(key, value)
 }
 
 func (e *entry) Int(key string, value int64) turmericwall.LogEntry {
 	e.event.Int64(key, value)
-	return e.keep(key, strconv.FormatInt(value, 10))
+	return e.addTraceField(key, strconv.FormatInt(value, 10))
 }
 
 func (e *entry) Float(key string, value float64) turmericwall.LogEntry {
 	e.event.Float64(key, value)
-	return e.keep(key, strconv.FormatFloat(value, 'g', -1, 64))
+	return e.addTraceField(key, strconv.FormatFloat(value, 'g', -1, 64))
 }
 
 func (e *entry) Err(err error) turmericwall.LogEntry {
@@ -89,7 +92,7 @@
 	if err == nil {
 		return e
 	}
-	return e.keep("error", err.Error())
+	return e.addTraceField("error", err.Error())
 }
 
 func (e *entry) Send() {
@@ -100,7 +103,8 @@
 	e.trace.Add(e.request, twtrace.Line{At: time.Now(), Event: int(e.id), Name: e.id.String(), Fields: e.fields})
 }
 
-func (e *entry) keep(key, value string) turmericwall.LogEntry {
+// addTraceField adds a field to the event's line in the trace.
+func (e *entry) addTraceField(key, value string) turmericwall.LogEntry {
 	e.fields = append(e.fields, key+"="+value)
 	return e
 }
