--- a/internal/operations/twlogwriter/writer.go
+++ b/internal/operations/twlogwriter/writer.go
@@ -1,4 +1,5 @@
-// Package twlogwriter writes log lines without ever holding up who logs.
+// Package twlogwriter writes log lines asynchronously, so that a slow or blocked output never delays requests. Lines
+// beyond the queue's length or the permitted rate are dropped and counted.
 package twlogwriter
 
 import (
@@ -10,30 +11,30 @@
 )
 
 const (
-	// queued is how many lines wait for the output; at some 300 bytes a line that is 300 KB.
-	queued = 1024
-	// linesPerSecond bounds the volume; a daemon of the sizes in use writes some 30 lines a second at the peak.
-	linesPerSecond = 400
+	// queueLines bounds the lines that wait for the output; with about 300 bytes a line that is 300 KB.
+	queueLines = 1024
+	// maxLinesPerSecond bounds the volume of the log; a daemon writes about 30 lines a second at peak load.
+	maxLinesPerSecond = 400
 )
 
-// Writer queues lines and drops what does not fit, counting it.
+// Writer queues lines for its output, and drops and counts those that exceed its limits.
 type Writer struct {
-	lines   chan []byte
-	second  atomic.Int64
-	written atomic.Int64
-	dropped atomic.Int64
+	lines           chan []byte
+	currentSecond   atomic.Int64
+	writtenInSecond atomic.Int64
+	dropped         atomic.Int64
 }
 
-// New returns a writer; Run writes its lines.
-func New() *Writer { return &Writer{lines: make(chan []byte, queued)} }
+// New returns a writer with an empty queue; Run writes the queued lines.
+func New() *Writer { return &Writer{lines: make(chan []byte, queueLines)} }
 
-// Write queues one line. It never blocks and never fails.
+// Write queues a copy of one line, or drops it. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	now := time.Now().Unix()
-	if w.second.Swap(now) != now {
-		w.written.Store(0)
+	if w.currentSecond.Swap(now) != now {
+		w.writtenInSecond.Store(0)
 	}
-	if w.written.Add(1) > linesPerSecond {
+	if w.writtenInSecond.Add(1) > maxLinesPerSecond {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
@@ -45,12 +46,13 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped since the start.
+// Dropped returns how many lines were dropped since the start.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Run writes the lines until ctx ends and the queue is empty.
+// Run writes queued lines until ctx ends, and then those that are left. When the queue is empty again after lines were
+// dropped, it writes a line with their number. It fails when the output does.
 func (w *Writer) Run(ctx context.Context, out io.Writer) error {
-	told := int64(0)
+	reportedDropped := int64(0)
 	for {
 		select {
 		case line := <-w.lines:
@@ -60,13 +62,14 @@
 		case <-ctx.Done():
 			return w.flush(out)
 		}
-		if dropped := w.dropped.Load(); dropped > told && len(w.lines) == 0 {
-			told = dropped
+		if dropped := w.dropped.Load(); dropped > reportedDropped && len(w.lines) == 0 {
+			reportedDropped = dropped
 			fmt.Fprintf(out, `{"level":"warn","message":"Log lines dropped","dropped":%d}`+"\n", dropped)
 		}
 	}
 }
 
+// flush writes the lines that are still queued.
 func (w *Writer) flush(out io.Writer) error {
 	for {
 		select {
--- a/internal/operations/twlogwriter/writer_test.go
+++ b/internal/operations/twlogwriter/writer_test.go
@@ -13,7 +13,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twlogwriter"
 )
 
-func TestQueuedLinesAreWrittenBeforeTheEnd(t *testing.T) {
+func TestQueuedLinesAreWrittenBeforeRunReturns(t *testing.T) {
 	g := NewWithT(t)
 	w := twlogwriter.New()
 	for i := range 5 {
@@ -26,19 +26,19 @@
 	g.Expect(strings.Count(out.String(), "line")).To(BeNumerically(">=", 5))
 }
 
-// Nobody reads the log's output. Requests must not wait for it: lines are dropped and counted.
-func TestAFullQueueHoldsNobodyUp(t *testing.T) {
+// A blocked log output must not delay requests: Write drops and counts the lines that do not fit into the queue.
+func TestWriteDoesNotBlockWhenTheQueueIsFull(t *testing.T) {
 	g := NewWithT(t)
 	w := twlogwriter.New()
-	began := time.Now()
+	startedAt := time.Now()
 	for range 5000 {
 		_, _ = w.Write([]byte("line\n"))
 	}
-	g.Expect(time.Since(began)).To(BeNumerically("<", time.Second))
+	g.Expect(time.Since(startedAt)).To(BeNumerically("<", time.Second))
 	g.Expect(w.Dropped()).To(BeNumerically(">", 3500))
 }
 
-func TestDroppedLinesAreTold(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	g := NewWithT(t)
 	w := twlogwriter.New()
 	for range 3000 {
