--- a/internal/operations/twmeters/meters.go
+++ b/internal/operations/twmeters/meters.go
@@ -1,4 +1,5 @@
-// Package twmeters counts what a daemon does and serves the counts as text.
+// Package twmeters holds a daemon's metrics (counters, gauges and latency histograms) and serves them as text over
+// HTTP. Their number is bounded also where callers or the configuration choose names.
 package twmeters
 
 import (
@@ -14,50 +15,50 @@
 )
 
 const (
-	// sampled is how many newest latencies a histogram keeps; with 300 the 99th percentile rests on three.
-	sampled = 300
-	// sampleAlpha favours newer latencies, as the library's pages advise for the last minutes.
+	// sampleSize is how many latencies a histogram keeps; with 300 the 99th percentile rests on three values.
+	sampleSize = 300
+	// sampleAlpha weights the sample towards the last minutes; it is the value that the library recommends for that.
 	sampleAlpha = 0.015
 )
 
-// quantiles are what a histogram shows.
+// quantiles are the quantiles that are shown of each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// Meters are a daemon's counters, gauges and latency histograms.
+// Meters holds a daemon's counters, gauges and latency histograms.
 type Meters struct {
 	registry metrics.Registry
 	mu       sync.Mutex
-	// names are those that counters are split by.
-	names map[string]map[string]bool
+	// namesByPrefix holds, for each prefix, the names that its counters are split by.
+	namesByPrefix map[string]map[string]bool
 }
 
-// New returns meters without any value.
+// New returns meters without any metric.
 func New() *Meters {
-	// The library's global clocks for rates are not used; counters and histograms need none.
-	return &Meters{registry: metrics.NewRegistry(), names: make(map[string]map[string]bool)}
+	// Counters and histograms need none of the library's background timers, which serve rates.
+	return &Meters{registry: metrics.NewRegistry(), namesByPrefix: make(map[string]map[string]bool)}
 }
 
-// Count adds to the counter of that name.
+// Count adds n to the counter of that name.
 func (m *Meters) Count(name string, n int64) {
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(n)
 }
 
-// maxNames is how many names one counter is split by; further names count as otherName.
+// maxNamesPerPrefix bounds the names that one counter is split by; further names are counted under otherName.
 const (
-	maxNames  = 64
-	otherName = "other"
+	maxNamesPerPrefix = 64
+	otherName         = "other"
 )
 
-// CountNamed adds to the counter of the name, as one of those that the prefix is split by. Their number is bounded, since callers
-// or the configuration choose the names.
+// CountNamed adds n to the counter prefix_name. The number of names of a prefix is bounded, since callers or the
+// configuration choose them.
 func (m *Meters) CountNamed(prefix, name string, n int64) {
 	m.mu.Lock()
-	names := m.names[prefix]
+	names := m.namesByPrefix[prefix]
 	if names == nil {
 		names = make(map[string]bool)
-		m.names[prefix] = names
+		m.namesByPrefix[prefix] = names
 	}
-	if !names[name] && len(names) >= maxNames {
+	if !names[name] && len(names) >= maxNamesPerPrefix {
 		name = otherName
 	} else {
 		names[name] = true
@@ -66,25 +67,25 @@
 	m.Count(prefix+"_"+name, n)
 }
 
-// Observe takes one latency in milliseconds.
+// Observe adds one latency in milliseconds to the histogram of that name.
 func (m *Meters) Observe(name string, millis int64) {
 	m.registry.GetOrRegister(name, func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewExpDecaySample(sampled, sampleAlpha))
+		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}).(metrics.Histogram).Update(millis)
 }
 
-// Gauge shows what read returns whenever the meters are served.
+// Gauge registers a gauge whose value is read each time the metrics are served.
 func (m *Meters) Gauge(name string, read func() int64) {
 	metrics.NewRegisteredFunctionalGauge(name, m.registry, read)
 }
 
-// ServeHTTP writes one line for each value, ordered by name.
+// ServeHTTP writes one line for each value, sorted by name, and the time of the answer in Unix milliseconds.
 func (m *Meters) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = io.WriteString(w, m.text())
+	_, _ = io.WriteString(w, m.formatText())
 }
 
-func (m *Meters) text() string {
+func (m *Meters) formatText() string {
 	var lines []string
 	m.registry.Each(func(name string, value any) {
 		switch v := value.(type) {
@@ -93,14 +94,14 @@
 		case metrics.Gauge:
 			lines = append(lines, fmt.Sprintf("%s %d", name, v.Value()))
 		case metrics.Histogram:
-			lines = append(lines, histogram(name, v.Snapshot())...)
+			lines = append(lines, formatHistogram(name, v.Snapshot())...)
 		}
 	})
 	sort.Strings(lines)
 	return strings.Join(lines, "\n") + "\n" + fmt.Sprintf("scrapedAtMillis %d\n", time.Now().UnixMilli())
 }
 
-func histogram(name string, h metrics.Histogram) []string {
+func formatHistogram(name string, h metrics.Histogram) []string {
 	lines := []string{fmt.Sprintf("%s_count %d", name, h.Count())}
 	for i, value := range h.Percentiles(quantiles) {
 		lines = append(lines, fmt.Sprintf("%s{quantile=%q} %.0f", name, fmt.Sprint(quantiles[i]), value))
--- a/internal/operations/twmeters/meters_test.go
+++ b/internal/operations/twmeters/meters_test.go
@@ -27,8 +27,8 @@
 	g.Expect(w.Body.String()).To(MatchRegexp(`latencyMillis_plain\{quantile="0.9"\} (89|90|91)\n`))
 }
 
-// Guards against metrics that grow with the names that a configuration holds.
-func TestNamesOfACounterAreBounded(t *testing.T) {
+// Without a bound, the number of metrics would grow with the names in the configuration.
+func TestCountersOfAPrefixAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	m := twmeters.New()
 	for i := range 100 {
