--- a/internal/operations/twtrace/trace.go
+++ b/internal/operations/twtrace/trace.go
@@ -1,4 +1,5 @@
-// Package twtrace keeps the last log lines of recent requests, for explain.
+// Package twtrace keeps the log lines of recent requests in memory. The operators' listener reads them to explain one
+// request.
 package twtrace
 
 import (
@@ -9,11 +10,11 @@
 )
 
 const (
-	maxRequests = 4096
-	maxLines    = 32
+	maxRequests        = 4096
+	maxLinesPerRequest = 32
 )
 
-// Trace holds a bounded number of requests.
+// Trace holds the lines of the most recent requests. Requests and lines per request are bounded.
 type Trace struct {
 	mu       sync.Mutex
 	requests *simplelru.LRU[string, []Line]
@@ -33,17 +34,17 @@
 	return &Trace{requests: requests}
 }
 
-// Add keeps the line; further ones of a request with many lines are left out.
+// Add records a line of the request; lines beyond the bound per request are dropped.
 func (t *Trace) Add(request string, line Line) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lines, _ := t.requests.Get(request)
-	if len(lines) < maxLines {
+	if len(lines) < maxLinesPerRequest {
 		t.requests.Add(request, append(lines, line))
 	}
 }
 
-// Lines returns what is known of the request, oldest first.
+// Lines returns the recorded lines of the request, oldest first; nil if there are none.
 func (t *Trace) Lines(request string) []Line {
 	t.mu.Lock()
 	defer t.mu.Unlock()
