--- a/internal/operations/twexplain/explain.go
+++ b/internal/operations/twexplain/explain.go
@@ -1,4 +1,5 @@
-// Package twexplain tells from logs what became of one request.
+// Package twexplain reads from daemons' logs what happened to one request: the events of the request itself and, of the
+// daemons that handled it, the events around that time that belong to no request.
 package twexplain
 
 import (
@@ -10,88 +11,91 @@
 	"strings"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
-// surroundSeconds is how far around the request's lines other events of its daemon are shown.
-const surroundSeconds = 3
+// contextSeconds is how long before the first and after the last line of the request other events of its daemons are
+// shown.
+const contextSeconds = 3
 
-// Explanation is what logs say of one request.
+// Explanation holds the log lines that explain one request.
 type Explanation struct {
 	lines []line
 }
 
 type line struct {
-	time    string
-	daemon  string
-	message string
-	fields  map[string]any
-	own     bool
+	time      string
+	daemon    string
+	message   string
+	fields    map[string]any
+	ofRequest bool
 }
 
-// Read reads the lines that bear the request's id, and what else its daemon met about that time. Lines that are no log
-// lines, and what stands before the JSON of one, are skipped.
+// Read reads the lines with the request's id and the other events of its daemons around that time. Lines without a JSON
+// event and any text before the JSON are skipped. It fails when the logs can't be read or a line is over 1 MiB.
 func Read(logs io.Reader, request string) (*Explanation, error) {
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var all []line
 	for scanner.Scan() {
-		if l, ok := parse(scanner.Text()); ok {
-			l.own = belongs(l.fields, request)
+		if l, ok := parseLine(scanner.Text()); ok {
+			l.ofRequest = isOfRequest(l.fields, request)
 			all = append(all, l)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("read the log: %w", err)
 	}
-	return &Explanation{lines: around(all)}, nil
+	return &Explanation{lines: selectLines(all)}, nil
 }
 
-// Found tells that a line bears the request's id.
+// Found reports whether any line has the request's id.
 func (e *Explanation) Found() bool { return len(e.lines) > 0 }
 
-// Write writes one line for each event, the request's own marked by a star.
+// Write writes one line for each event in the order of time; those of the request itself are marked with an asterisk.
 func (e *Explanation) Write(out io.Writer) error {
 	for _, l := range e.lines {
 		mark := " "
-		if l.own {
+		if l.ofRequest {
 			mark = "*"
 		}
-		if _, err := fmt.Fprintf(out, "%s %s %s %s %s\n", mark, l.time, l.daemon, l.message, fields(l.fields)); err != nil {
+		if _, err := fmt.Fprintf(out, "%s %s %s %s %s\n", mark, l.time, l.daemon, l.message, formatFields(l.fields)); err != nil {
 			return fmt.Errorf("write the explanation: %w", err)
 		}
 	}
 	return nil
 }
 
-func parse(text string) (line, bool) {
+// parseLine decodes the JSON event in a line. It reports false if there is none or if it has no time or message.
+func parseLine(text string) (line, bool) {
 	at := strings.IndexByte(text, '{')
 	if at < 0 {
 		return line{}, false
 	}
-	var all map[string]any
-	if json.Unmarshal([]byte(text[at:]), &all) != nil {
+	var fields map[string]any
+	if json.Unmarshal([]byte(text[at:]), &fields) != nil {
 		return line{}, false
 	}
-	l := line{fields: all}
-	l.time, _ = all["time"].(string)
-	l.daemon, _ = all["daemon"].(string)
-	l.message, _ = all["message"].(string)
+	l := line{fields: fields}
+	l.time, _ = fields["time"].(string)
+	l.daemon, _ = fields["daemon"].(string)
+	l.message, _ = fields["message"].(string)
 	return l, l.time != "" && l.message != ""
 }
 
-// belongs tells that the line bears the id, alone or with the number of a try behind it.
-func belongs(all map[string]any, request string) bool {
-	id, _ := all["request"].(string)
+// isOfRequest reports whether the line has the request's id, alone or followed by the number of an attempt.
+func isOfRequest(fields map[string]any, request string) bool {
+	id, _ := fields["request"].(string)
 	return id == request || strings.HasPrefix(id, request+"/")
 }
 
-// around keeps the request's own lines and, of the same daemons, those about no request in the seconds around.
-func around(all []line) []line {
+// selectLines returns the request's lines and, of the same daemons, those without a request id up to contextSeconds
+// before and after them, sorted by time.
+func selectLines(all []line) []line {
 	first, last := "", ""
 	daemons := make(map[string]bool)
 	for _, l := range all {
-		if !l.own {
+		if !l.ofRequest {
 			continue
 		}
 		daemons[l.daemon] = true
@@ -100,20 +104,22 @@
 		}
 		last = max(last, l.time)
 	}
-	var kept []line
+	var selected []line
 	for _, l := range all {
-		_, other := l.fields["request"]
-		if l.own || (!other && daemons[l.daemon] && l.time >= shift(first, -surroundSeconds) && l.time <= shift(last, surroundSeconds)) {
-			kept = append(kept, l)
+		_, hasRequest := l.fields["request"]
+		if l.ofRequest || (!hasRequest && daemons[l.daemon] &&
+			l.time >= shiftTime(first, -contextSeconds) && l.time <= shiftTime(last, contextSeconds)) {
+			selected = append(selected, l)
 		}
 	}
-	sort.SliceStable(kept, func(i, j int) bool { return kept[i].time < kept[j].time })
-	return kept
+	sort.SliceStable(selected, func(i, j int) bool { return selected[i].time < selected[j].time })
+	return selected
 }
 
-func fields(all map[string]any) string {
+// formatFields returns the fields that are not shown otherwise as name=value, sorted by name.
+func formatFields(fields map[string]any) string {
 	var list []string
-	for name, value := range all {
+	for name, value := range fields {
 		switch name {
 		case "time", "daemon", "message", "level", "event":
 			continue
--- a/internal/operations/twexplain/explain_test.go
+++ b/internal/operations/twexplain/explain_test.go
@@ -20,7 +20,7 @@
 not json {
 `
 
-func TestARequestsLinesStandWithWhatItsDaemonMet(t *testing.T) {
+func TestRequestIsExplainedWithEventsOfItsDaemonAroundIt(t *testing.T) {
 	g := NewWithT(t)
 	e, err := twexplain.Read(strings.NewReader(logs), "id1")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -32,7 +32,7 @@
 		"* 2026-04-01T00:00:02.500Z a Request refused request=id1 status=503\n"))
 }
 
-func TestAnUnknownRequestIsNotFound(t *testing.T) {
+func TestUnknownRequestIsNotFound(t *testing.T) {
 	g := NewWithT(t)
 	e, err := twexplain.Read(strings.NewReader(logs), "id9")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/operations/twexplain/shift.go
+++ b/internal/operations/twexplain/shift.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// layout is how log lines write their time.
-const layout = "2006-01-02T15:04:05.000Z07:00"
+// timeLayout is the format of the time in log lines.
+const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
-// shift moves a line's time by some seconds; a time that can't be read stays as it is.
-func shift(text string, seconds int) string {
-	at, err := time.Parse(layout, text)
+// shiftTime returns the time of a line moved by the seconds; a time that can't be parsed is returned unchanged.
+func shiftTime(text string, seconds int) string {
+	at, err := time.Parse(timeLayout, text)
 	if err != nil {
 		return text
 	}
-	return at.Add(time.Duration(seconds) * time.Second).Format(layout)
+	return at.Add(time.Duration(seconds) * time.Second).Format(timeLayout)
 }
