--- a/internal/operations/twoperations/server.go
+++ b/internal/operations/twoperations/server.go
@@ -1,4 +1,5 @@
-// Package twoperations serves the operators' listener of a daemon.
+// Package twoperations serves the operators' listener of a daemon over HTTP: health and readiness, status, metrics, the
+// trace of one request, and the start of a drain. Calls of callers never pass through it.
 package twoperations
 
 import (
@@ -14,45 +15,53 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twtrace"
 )
 
-const headerTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
-// Server answers operators.
+// Server is the HTTP server of the operators' listener.
 type Server struct {
 	config Config
 	server *http.Server
 }
 
-// Config names what the server answers from.
+// Config holds the sources of the server's answers.
 type Config struct {
 	// Status returns the daemon's state.
 	Status func() Status
-	// Drain starts a graceful shutdown.
-	Drain    func()
-	Trace    *twtrace.Trace
+	// Drain starts a graceful shutdown and returns at once.
+	Drain func()
+	// Trace holds the log lines of recent requests.
+	Trace *twtrace.Trace
+	// Registry holds the metrics to show.
 	Registry metrics.Registry
 }
 
 // Status is the daemon's state as operators see it.
 type Status struct {
-	Incarnation string       `json:"incarnation"`
-	Environment string       `json:"environment"`
-	Zone        string       `json:"zone"`
-	Ready       bool         `json:"ready"`
-	Draining    bool         `json:"draining"`
-	Revision    int64        `json:"revision"`
-	Digest      string       `json:"digest"`
-	InFlight    int64        `json:"inFlight"`
-	Attempts    int          `json:"attempts"`
-	Deferrable  int          `json:"deferrable"`
-	Cancels     int          `json:"cancels"`
-	Unrecorded  int          `json:"unrecorded"`
-	Answered    int64        `json:"answered"`
-	Failed      int64        `json:"failed"`
-	Keeps       []string     `json:"keeps"`
-	Peers       []PeerStatus `json:"peers"`
+	Incarnation string `json:"incarnation"`
+	Environment string `json:"environment"`
+	Zone        string `json:"zone"`
+	Ready       bool   `json:"ready"`
+	Draining    bool   `json:"draining"`
+	// Revision and Digest identify the document in force.
+	Revision int64  `json:"revision"`
+	Digest   string `json:"digest"`
+	// InFlight counts the callers' requests in flight, and Attempts the attempts to deliver them.
+	InFlight int64 `json:"inFlight"`
+	Attempts int   `json:"attempts"`
+	// Deferrable counts the deferrable requests that are running, Cancels the cancels that are not yet confirmed, and
+	// Unrecorded the claims whose answer is not yet stored.
+	Deferrable int `json:"deferrable"`
+	Cancels    int `json:"cancels"`
+	Unrecorded int `json:"unrecorded"`
+	// Answered and Failed count the callers' requests since the start.
+	Answered int64 `json:"answered"`
+	Failed   int64 `json:"failed"`
+	// Keeps lists the engine services that the daemon leads.
+	Keeps []string     `json:"keeps"`
+	Peers []PeerStatus `json:"peers"`
 }
 
-// PeerStatus is one live peer.
+// PeerStatus is one live peer, as its last heartbeat described it.
 type PeerStatus struct {
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
@@ -60,7 +69,7 @@
 	Draining    bool   `json:"draining"`
 }
 
-// New returns a server.
+// New returns a server with its routes; Serve starts it.
 func New(config Config) *Server {
 	s := &Server{config: config}
 	router := echo.New()
@@ -70,7 +79,7 @@
 	router.GET("/metrics", s.metrics)
 	router.GET("/explain", s.explain)
 	router.POST("/drain", s.drain)
-	s.server = &http.Server{Handler: router, ReadHeaderTimeout: headerTimeout}
+	s.server = &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}
 	return s
 }
 
