--- a/internal/operations/twserve/serve.go
+++ b/internal/operations/twserve/serve.go
@@ -1,4 +1,4 @@
-// Package twserve runs HTTP servers for as long as their context lives.
+// Package twserve runs an HTTP server until a context ends. The listeners for callers and operators are served with it.
 package twserve
 
 import (
@@ -8,20 +8,20 @@
 	"net/http"
 )
 
-// Until answers on the listener until ctx ends; open connections are then closed. A server that was shut
-// down gracefully before waits for the end of ctx.
+// Until serves the listener until ctx ends, and then closes the server and its open connections. If the server was shut
+// down gracefully before, Until still waits for the end of ctx. It returns an error only if serving fails.
 func Until(ctx context.Context, server *http.Server, listener net.Listener) error {
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		if !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		<-ctx.Done()
 	case <-ctx.Done():
 		_ = server.Close()
-		<-ended
+		<-serveErr
 	}
 	return nil
 }
