--- a/internal/operations/twprogram/program.go
+++ b/internal/operations/twprogram/program.go
@@ -1,4 +1,5 @@
-// Package twprogram runs a program's command line.
+// Package twprogram parses a program's command line, runs the command and turns its error into an exit code. The daemon
+// and the operators' tools share it, so that their flags, signals and exit codes agree.
 package twprogram
 
 import (
@@ -16,7 +17,7 @@
 const (
 	ExitOK     = 0
 	ExitFailed = 1
-	// ExitUsage stands for wrong flags and invalid files.
+	// ExitUsage reports invalid flags or files.
 	ExitUsage = 2
 )
 
@@ -29,11 +30,12 @@
 type Config struct {
 	Name        string
 	Description string
-	// Commands is a pointer to the grammar; each command's Run may take a context and the bound values.
+	// Commands points to the struct that declares the commands and flags; each command's Run may take a context and the
+	// bound values.
 	Commands any
-	// Bind gives the values that commands take, once the flags are known.
+	// Bind returns the values that are passed to the commands; it is called after the flags are parsed.
 	Bind func() []any
-	// CodeOf returns the exit code of a command's error; nil counts every error as ExitFailed.
+	// CodeOf returns the exit code of a command's error. If it is nil, the code is always ExitFailed.
 	CodeOf   func(error) int
 	Out, Err io.Writer
 }
@@ -41,42 +43,42 @@
 // New returns a program.
 func New(config Config) *Program { return &Program{config: config} }
 
-// Run parses the arguments, runs the command, and returns the exit code. The commands' context ends with
-// SIGTERM or an interrupt.
+// Run parses the arguments, runs the command, writes its error to Err and returns the exit code. The context of the
+// commands is cancelled on SIGTERM or an interrupt.
 func (p *Program) Run(arguments []string) int {
-	exited := -1
+	kongExitCode := -1
 	parser, err := kong.New(p.config.Commands,
 		kong.Name(p.config.Name),
 		kong.Description(p.config.Description),
 		kong.Writers(p.config.Out, p.config.Err),
-		kong.Exit(func(code int) { exited = code }))
+		kong.Exit(func(code int) { kongExitCode = code }))
 	if err != nil {
-		return p.fail(err, ExitFailed)
+		return p.reportError(err, ExitFailed)
 	}
 	parsed, err := parser.Parse(arguments)
-	if exited >= 0 {
-		return exited
+	if kongExitCode >= 0 {
+		return kongExitCode
 	}
 	if err != nil {
-		return p.fail(err, ExitUsage)
+		return p.reportError(err, ExitUsage)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	if err := parsed.Run(p.config.Bind()...); err != nil {
-		return p.fail(err, p.codeOf(err))
+		return p.reportError(err, p.exitCode(err))
 	}
 	return ExitOK
 }
 
-func (p *Program) codeOf(err error) int {
+func (p *Program) exitCode(err error) int {
 	if p.config.CodeOf == nil {
 		return ExitFailed
 	}
 	return p.config.CodeOf(err)
 }
 
-func (p *Program) fail(err error, code int) int {
+func (p *Program) reportError(err error, code int) int {
 	_, _ = fmt.Fprintf(p.config.Err, "%s: %v\n", p.config.Name, err)
 	return code
 }
