--- a/internal/operations/twtask/group.go
+++ b/internal/operations/twtask/group.go
@@ -1,4 +1,5 @@
-// Package twtask starts goroutines and gathers their ends.
+// Package twtask runs the long-running tasks of a daemon as a group of goroutines: when one fails the others are
+// cancelled, and the group returns the first error.
 package twtask
 
 import (
@@ -6,51 +7,53 @@
 	"fmt"
 )
 
-// Group owns goroutines: each takes its context and reports its end on the group's channel.
+// Group owns a set of goroutines, which share its context and send their result on its channel. Start and Wait must be
+// called by one goroutine only.
 type Group struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
-	ends    chan error
-	started int
+	results chan error
+	running int
 }
 
-// New returns a group whose goroutines stop when ctx ends or Stop is called.
+// New returns an empty group whose context is cancelled when ctx ends, Stop is called or a goroutine fails.
 func New(ctx context.Context) *Group {
 	inner, cancel := context.WithCancel(ctx)
-	return &Group{ctx: inner, cancel: cancel, ends: make(chan error)}
+	return &Group{ctx: inner, cancel: cancel, results: make(chan error)}
 }
 
-// Context ends when the group is to stop.
+// Context returns the group's context, which is cancelled when its goroutines must stop.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Start runs work in a goroutine; only the group's owner may call it. The first failure stops the others.
+// Start runs work in a goroutine; an error cancels the group's context. Only the group's owner may call Start.
 func (g *Group) Start(name string, work func(ctx context.Context) error) {
-	g.started++
+	g.running++
 	go func() {
-		err := wrap(name, work(g.ctx))
+		err := wrapError(name, work(g.ctx))
 		if err != nil {
 			g.cancel()
 		}
-		g.ends <- err
+		g.results <- err
 	}()
 }
 
-// Wait returns when every goroutine has ended, with the first error that is not the context's end.
+// Wait returns when every goroutine has ended, with the first error that is not context.Canceled.
 func (g *Group) Wait() error {
-	var first error
-	for ; g.started > 0; g.started-- {
-		if err := <-g.ends; err != nil && first == nil {
-			first = err
+	var firstErr error
+	for ; g.running > 0; g.running-- {
+		if err := <-g.results; err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
 	g.cancel()
-	return first
+	return firstErr
 }
 
-// Stop asks all goroutines to end.
+// Stop cancels the group's context; Wait then waits for the goroutines.
 func (g *Group) Stop() { g.cancel() }
 
-func wrap(name string, err error) error {
+// wrapError adds the task's name to the error; a cancelled context is no error.
+func wrapError(name string, err error) error {
 	if err == nil || err == context.Canceled {
 		return nil
 	}
