--- a/internal/operations/twboottime/clock.go
+++ b/internal/operations/twboottime/clock.go
@@ -1,4 +1,5 @@
-// Package twboottime tells time that goes on while a machine is suspended.
+// Package twboottime reads a monotonic clock that keeps counting while the machine is suspended (CLOCK_BOOTTIME).
+// Leases and their proofs are checked against it.
 package twboottime
 
 import (
@@ -7,24 +8,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Moment is a point in time since the machine's start, in nanoseconds.
+// Moment is an instant, in nanoseconds since the machine's start.
 //
-// The steady clock stands still while a machine is suspended and the time of day may jump. A lease checked by
-// either could look valid long after another daemon took it over.
+// The ordinary monotonic clock (CLOCK_MONOTONIC) stops while the machine is suspended, and the wall clock may jump. By
+// either of them a lease could look valid long after another daemon has taken it over.
 type Moment int64
 
-// Now returns the present moment.
+// Now returns the current instant.
 func Now() Moment {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Every kernel in use has this clock; without it leases would never lapse here, so none is held.
+		// Every supported kernel has this clock. Without it, leases would never expire on this machine; the latest
+		// instant makes all of them expired, so that none is held.
 		return Moment(1<<63 - 1)
 	}
 	return Moment(t.Nano())
 }
 
-// Add returns the moment after the span.
+// Add returns the instant that is the span later.
 func (m Moment) Add(span time.Duration) Moment { return m + Moment(span) }
 
-// Sub returns the span since the other moment.
+// Sub returns the time from the other instant to this one.
 func (m Moment) Sub(other Moment) time.Duration { return time.Duration(m - other) }
