--- a/internal/operations/twcertificate/daemon_test.go
+++ b/internal/operations/twcertificate/daemon_test.go
@@ -18,7 +18,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twsettings"
 )
 
-// startDaemon runs a daemon whose platform can't be reached until the test ends.
+// startDaemon runs a daemon until the test ends; its platform is unreachable.
 func startDaemon(t *testing.T, name string, files twsettings.TLS, seeds ...string) *twdaemon.Daemon {
 	g := NewWithT(t)
 	notice := int64(0)
@@ -40,7 +40,8 @@
 	return d
 }
 
-func peers(g Gomega, d *twdaemon.Daemon) int {
+// countPeers returns how many live peers the daemon reports.
+func countPeers(g Gomega, d *twdaemon.Daemon) int {
 	response, err := http.Get("http://" + d.OperationsAddress() + "/status")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = response.Body.Close() }()
@@ -49,17 +50,17 @@
 	return len(status.Peers)
 }
 
-// Daemons of one authority find each other over mutual TLS, and callers are served over TLS only. A daemon
-// with a certificate of another authority stays alone.
-func TestDaemonsSpeakTLS(t *testing.T) {
+// Daemons of one authority must connect over mutual TLS, and callers must be served over TLS only. A daemon with a
+// certificate of another authority must not become a peer.
+func TestDaemonsConnectOverMutualTLSOfOneAuthority(t *testing.T) {
 	g := NewWithT(t)
 	ours, theirs := newAuthority(g), newAuthority(g)
 	first := startDaemon(t, "first", ours.issue(g, t.TempDir(), 1))
 	second := startDaemon(t, "second", ours.issue(g, t.TempDir(), 2), first.PeersAddress())
-	stranger := startDaemon(t, "stranger", theirs.issue(g, t.TempDir(), 3), first.PeersAddress())
-	g.Eventually(func(g Gomega) { g.Expect(peers(g, second)).To(Equal(1)) }).WithTimeout(10 * time.Second).Should(Succeed())
-	g.Eventually(func(g Gomega) { g.Expect(peers(g, first)).To(Equal(1)) }).WithTimeout(10 * time.Second).Should(Succeed())
-	g.Expect(peers(g, stranger)).To(BeZero())
+	outsider := startDaemon(t, "stranger", theirs.issue(g, t.TempDir(), 3), first.PeersAddress())
+	g.Eventually(func(g Gomega) { g.Expect(countPeers(g, second)).To(Equal(1)) }).WithTimeout(10 * time.Second).Should(Succeed())
+	g.Eventually(func(g Gomega) { g.Expect(countPeers(g, first)).To(Equal(1)) }).WithTimeout(10 * time.Second).Should(Succeed())
+	g.Expect(countPeers(g, outsider)).To(BeZero())
 	pool := x509.NewCertPool()
 	pool.AddCert(ours.certificate)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, ServerName: "daemon", InsecureSkipVerify: true}}}
--- a/internal/operations/twcertificate/source.go
+++ b/internal/operations/twcertificate/source.go
@@ -1,4 +1,5 @@
-// Package twcertificate reads certificates from files and reads them again when they change.
+// Package twcertificate provides the TLS configurations of a daemon's listeners and of its calls to peers. Certificates
+// are read from files, and read again when the certificate's file changes, so that they are rotated without a restart.
 package twcertificate
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twsettings"
 )
 
-// Source gives TLS configurations that follow the files, so that keys rotate without a restart.
+// Source provides TLS configurations that always use the current certificate files.
 type Source struct {
 	files twsettings.TLS
 
@@ -23,19 +24,20 @@
 	authority   *x509.CertPool
 }
 
-// New returns a source whose files were read once.
+// New reads the files and returns their source; it fails when one of them can't be read.
 func New(files twsettings.TLS) (*Source, error) {
 	s := &Source{files: files}
-	return s, s.read()
+	return s, s.reload()
 }
 
-// Server is the configuration of the callers' listener.
-func (s *Source) Server() *tls.Config {
+// CallerServerConfig returns the configuration of the callers' listener. Callers need no certificate.
+func (s *Source) CallerServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: s.getCertificate}
 }
 
-// PeerServer is the configuration of the peers' listener: both sides show certificates of the authority.
-func (s *Source) PeerServer() *tls.Config {
+// PeerServerConfig returns the configuration of the peers' listener, where both sides must present a certificate of the
+// peer authority.
+func (s *Source) PeerServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -48,9 +50,9 @@
 	}
 }
 
-// PeerClient is the configuration of calls to peers. Peers are addressed by IP number, and any daemon of
-// the authority may answer, so the chain is verified and the name is not.
-func (s *Source) PeerClient() *tls.Config {
+// PeerClientConfig returns the configuration of calls to peers. The chain of the peer's certificate is verified and its
+// name is not, since peers are addressed by IP address and any daemon of the authority may answer.
+func (s *Source) PeerClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -58,13 +60,14 @@
 			return certificate, nil
 		},
 		InsecureSkipVerify: true,
-		VerifyConnection:   s.verify,
+		VerifyConnection:   s.verifyPeer,
 	}
 }
 
-func (s *Source) verify(state tls.ConnectionState) error {
+// verifyPeer fails unless the peer's certificate is signed by the peer authority.
+func (s *Source) verifyPeer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the peer shows no certificate; give every daemon one of the peer authority")
+		return errors.New("the peer presents no certificate; give every daemon one signed by the peer authority")
 	}
 	_, authority := s.current()
 	intermediates := x509.NewCertPool()
@@ -73,7 +76,7 @@
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: authority, Intermediates: intermediates})
 	if err != nil {
-		return fmt.Errorf("the peer's certificate is not of the peer authority: %w", err)
+		return fmt.Errorf("the peer's certificate is not signed by the peer authority: %w", err)
 	}
 	return nil
 }
@@ -83,15 +86,17 @@
 	return certificate, nil
 }
 
-// current reads changed files again; while they can't be read the last ones stay in use.
+// current returns the certificate and the authority, after reading the files again if the certificate's
+// file has changed. While the files can't be read, those read last stay in use.
 func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
-	_ = s.read()
+	_ = s.reload()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.certificate, s.authority
 }
 
-func (s *Source) read() error {
+// reload reads the files if the certificate's file has changed since they were last read.
+func (s *Source) reload() error {
 	info, err := os.Stat(s.files.Certificate)
 	if err != nil {
 		return fmt.Errorf("read the certificate, check tls.certificate: %w", err)
@@ -111,7 +116,7 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(pem) {
-		return errors.New("tls.peerAuthority holds no certificate in PEM")
+		return errors.New("tls.peerAuthority contains no certificate in PEM format")
 	}
 	s.certificate, s.authority, s.modified = &certificate, authority, info.ModTime()
 	return nil
--- a/internal/operations/twcertificate/source_test.go
+++ b/internal/operations/twcertificate/source_test.go
@@ -21,7 +21,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twsettings"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for a test.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -42,7 +42,7 @@
 	return &authority{certificate: certificate, key: key, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// issue writes a certificate with the serial number into the folder.
+// issue writes a certificate with the serial number, its key and the authority's certificate into the folder.
 func (a *authority) issue(g *WithT, folder string, serial int64) twsettings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -57,13 +57,13 @@
 	files := twsettings.TLS{
 		Certificate: filepath.Join(folder, "cert.pem"), Key: filepath.Join(folder, "key.pem"), PeerAuthority: filepath.Join(folder, "ca.pem"),
 	}
-	write(g, files.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}))
-	write(g, files.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encodedKey}))
-	write(g, files.PeerAuthority, a.pem)
+	writeFile(g, files.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}))
+	writeFile(g, files.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encodedKey}))
+	writeFile(g, files.PeerAuthority, a.pem)
 	return files
 }
 
-func write(g *WithT, path string, content []byte) {
+func writeFile(g *WithT, path string, content []byte) {
 	g.Expect(os.WriteFile(path, content, 0o600)).To(Succeed())
 }
 
@@ -73,8 +73,8 @@
 	return source
 }
 
-// connect returns the two ends of a loopback connection; a pipe without a buffer would block a handshake.
-func connect() (near, far net.Conn) {
+// loopbackPair returns the two ends of a loopback connection. An unbuffered pipe would block the handshake.
+func loopbackPair() (near, far net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -92,46 +92,47 @@
 	return near, <-accepted
 }
 
-// handshake connects a peer's client to a peer's server and returns the server's serial number.
+// handshake connects a peer's client to a peer's server and returns the serial number of the server's certificate.
 func handshake(server, client *tls.Config) (int64, error) {
-	near, far := connect()
-	ended := make(chan error, 1)
+	near, far := loopbackPair()
+	serverErr := make(chan error, 1)
 	go func() {
-		ended <- tls.Server(far, server).Handshake()
+		serverErr <- tls.Server(far, server).Handshake()
 		_ = far.Close()
 	}()
 	connection := tls.Client(near, client)
 	err := connection.Handshake()
 	if err != nil {
 		_ = near.Close()
-		<-ended
+		<-serverErr
 		return 0, err
 	}
 	serial := connection.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
-	if err := <-ended; err != nil {
+	if err := <-serverErr; err != nil {
 		return 0, err
 	}
 	return serial, near.Close()
 }
 
-// A daemon of the same authority is let in; one of another authority is not, on either side.
-func TestPeersMustBeOfTheAuthority(t *testing.T) {
+// Peers with a certificate of another authority must be rejected by servers and by clients; those of the same authority
+// must connect.
+func TestPeersOfAnotherAuthorityAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	ours, theirs := newAuthority(g), newAuthority(g)
 	server := newSource(g, ours.issue(g, t.TempDir(), 1))
-	friend := newSource(g, ours.issue(g, t.TempDir(), 2))
-	stranger := newSource(g, theirs.issue(g, t.TempDir(), 3))
-	_, err := handshake(server.PeerServer(), friend.PeerClient())
+	member := newSource(g, ours.issue(g, t.TempDir(), 2))
+	outsider := newSource(g, theirs.issue(g, t.TempDir(), 3))
+	_, err := handshake(server.PeerServerConfig(), member.PeerClientConfig())
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = handshake(server.PeerServer(), stranger.PeerClient())
+	_, err = handshake(server.PeerServerConfig(), outsider.PeerClientConfig())
 	g.Expect(err).To(HaveOccurred())
-	_, err = handshake(stranger.PeerServer(), friend.PeerClient())
+	_, err = handshake(outsider.PeerServerConfig(), member.PeerClientConfig())
 	g.Expect(err).To(HaveOccurred())
 }
 
-// An operator replaces the files while the daemon runs. The next connection shows the new certificate;
-// files that can't be read leave the last one in use.
-func TestReplacedFilesAreReadAgain(t *testing.T) {
+// When an operator replaces the files of a running daemon, the next connection must use the new certificate. Unreadable
+// files must leave the last certificate in use.
+func TestReplacedCertificateFilesAreReloaded(t *testing.T) {
 	g := NewWithT(t)
 	a := newAuthority(g)
 	folder := t.TempDir()
@@ -139,11 +140,11 @@
 	server, client := newSource(g, files), newSource(g, a.issue(g, t.TempDir(), 9))
 	a.issue(g, folder, 2)
 	g.Expect(os.Chtimes(files.Certificate, time.Now(), time.Now().Add(time.Minute))).To(Succeed())
-	serial, err := handshake(server.PeerServer(), client.PeerClient())
+	serial, err := handshake(server.PeerServerConfig(), client.PeerClientConfig())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serial).To(Equal(int64(2)))
-	write(g, files.Certificate, []byte("broken"))
-	serial, err = handshake(server.PeerServer(), client.PeerClient())
+	writeFile(g, files.Certificate, []byte("broken"))
+	serial, err = handshake(server.PeerServerConfig(), client.PeerClientConfig())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serial).To(Equal(int64(2)))
 }
--- a/internal/operations/twdaemon/build.go
+++ b/internal/operations/twdaemon/build.go
@@ -79,9 +79,9 @@
 		return transportSecurity{}, err
 	}
 	return transportSecurity{
-		callers:    source.Server(),
-		peerServer: credentials.NewTLS(source.PeerServer()),
-		peerClient: credentials.NewTLS(source.PeerClient()),
+		callers:    source.CallerServerConfig(),
+		peerServer: credentials.NewTLS(source.PeerServerConfig()),
+		peerClient: credentials.NewTLS(source.PeerClientConfig()),
 	}, nil
 }
 
