--- a/internal/operations/twsettings/settings.go
+++ b/internal/operations/twsettings/settings.go
@@ -56,7 +56,8 @@
 	Policy string `json:"policy,omitempty"`
 }
 
-// TLS names the PEM files of one daemon's certificate. They are read again when they change.
+// TLS names the PEM files of one daemon's certificate. All are read again when the certificate's file
+// changes.
 type TLS struct {
 	Certificate string `json:"certificate,omitempty"`
 	Key         string `json:"key,omitempty"`
