--- a/turmericwalld/internal/twcommand/command.go
+++ b/turmericwalld/internal/twcommand/command.go
@@ -1,4 +1,5 @@
-// Package twcommand is the daemon's command line.
+// Package twcommand implements the command line of turmericwalld: serve runs the daemon, check validates a settings file,
+// and version prints the build.
 package twcommand
 
 import (
@@ -17,10 +18,10 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twsettings"
 )
 
-// Commands is the command line's grammar.
+// Commands defines the subcommands and their flags.
 type Commands struct {
-	Serve   serve   `cmd:"" help:"Serve callers until SIGTERM, then finish what is under way."`
-	Check   check   `cmd:"" help:"Check the settings and exit."`
+	Serve   serve   `cmd:"" help:"Serve requests until SIGTERM, then finish those in flight and exit."`
+	Check   check   `cmd:"" help:"Check a settings file and exit."`
 	Version version `cmd:"" help:"Print the version and exit."`
 }
 
@@ -34,23 +35,24 @@
 
 type version struct{}
 
-// streams are where commands write.
+// streams holds the writer for the output of commands.
 type streams struct{ out io.Writer }
 
-// Run runs the command line and returns the exit code.
+// Run parses the arguments, runs the command, and returns the exit code.
 func Run(arguments []string, out, errOut io.Writer) int {
 	return twprogram.New(twprogram.Config{
 		Name:        "turmericwalld",
-		Description: "The daemon of turmericwall. Exit codes: 0 done, 1 failed, 2 wrong flags or settings.",
+		Description: "The daemon of turmericwall. Exit codes: 0 success, 1 failure, 2 invalid flags or settings.",
 		Commands:    &Commands{},
 		Bind:        func() []any { return []any{&streams{out: out}} },
-		CodeOf:      codeOf,
+		CodeOf:      exitCodeOf,
 		Out:         out,
 		Err:         errOut,
 	}).Run(arguments)
 }
 
-// Run serves until a signal; further signals change nothing, since a drain cuts no request.
+// Run serves until SIGTERM or an interrupt, and then drains. Further signals have no effect, because a drain lets every
+// request in flight finish.
 func (s *serve) Run(ctx context.Context, out *streams) error {
 	settings, err := twsettings.Load(s.Settings)
 	if err != nil {
@@ -63,7 +65,7 @@
 	return daemon.Run(ctx)
 }
 
-// Run checks the settings.
+// Run validates the settings file without starting a daemon.
 func (c *check) Run(out *streams) error {
 	settings, err := twsettings.Load(c.Settings)
 	if err != nil {
@@ -73,14 +75,15 @@
 	return err
 }
 
-// Run prints the version.
+// Run prints the module version and the Go version of the build.
 func (version) Run(out *streams) error {
 	info, _ := debug.ReadBuildInfo()
 	_, err := fmt.Fprintf(out.out, "turmericwalld %s, %s\n", info.Main.Version, info.GoVersion)
 	return err
 }
 
-func codeOf(err error) int {
+// exitCodeOf returns ExitUsage for invalid or missing settings, and ExitFailed for any other error.
+func exitCodeOf(err error) int {
 	if turmericwall.IsKind(err, turmericwall.KindInvalidSettings) || errors.Is(err, os.ErrNotExist) {
 		return twprogram.ExitUsage
 	}
--- a/turmericwalld/main.go
+++ b/turmericwalld/main.go
@@ -1,4 +1,4 @@
-// Command turmericwalld is the router's daemon: one runs on each entry VM.
+// Command turmericwalld is the router's daemon, which runs once on each entry VM.
 package main
 
 import (
