--- a/turmericwallctl/internal/twcommand/command.go
+++ b/turmericwallctl/internal/twcommand/command.go
@@ -1,4 +1,5 @@
-// Package twcommand is the operators' command line.
+// Package twcommand implements turmericwallctl, the operators' command line: it checks, applies and promotes documents
+// through the platform's table, and reads the status of daemons from their operators' listeners.
 package twcommand
 
 import (
@@ -17,52 +18,52 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twtable"
 )
 
-// Exit codes of its own.
+// Exit codes beyond those that all programs share.
 const (
-	// exitConflict stands for an operator who was second.
+	// exitConflict reports that another operator changed the environment first.
 	exitConflict = 3
-	// exitDiffers stands for a diff that found differences, and a status that is not in order.
-	exitDiffers = 4
+	// exitConditionNotMet reports that the command ran, but found a difference or a daemon that is not as expected.
+	exitConditionNotMet = 4
 )
 
 const description = `The operators' command line of turmericwall.
 
-Exit codes: 0 done; 1 failed; 2 wrong flags or an invalid document; 3 another operator was first;
-4 a difference, or a state that is not in order.`
+Exit codes: 0 success; 1 failure; 2 invalid flags or an invalid document; 3 another operator was first;
+4 a difference, or a daemon that is not ready or not at the expected revision.`
 
-// Commands is the command line's grammar.
+// Commands defines the subcommands and their flags.
 type Commands struct {
 	JSON bool `name:"json" help:"Write JSON for scripts instead of tables."`
 
-	Check   check   `cmd:"" help:"Check a document."`
-	Diff    diff    `cmd:"" help:"Compare a document with the one in force."`
-	Apply   apply   `cmd:"" help:"Make a document the next revision of an environment."`
-	Prove   prove   `cmd:"" help:"Record that the document in force in trial was proved there."`
-	Promote promote `cmd:"" help:"Apply the very bytes proved in one environment to another."`
+	Check   check   `cmd:"" help:"Check a document without applying it."`
+	Diff    diff    `cmd:"" help:"Compare a document with the revision in force."`
+	Apply   apply   `cmd:"" help:"Apply a document as the next revision of an environment."`
+	Prove   prove   `cmd:"" help:"Record that the document in force answered requests on every daemon of its environment."`
+	Promote promote `cmd:"" help:"Apply the document proved in one environment to another, byte for byte."`
 	History history `cmd:"" help:"List the revisions of an environment."`
-	Status  status  `cmd:"" help:"Show the state of daemons."`
-	Drain   drain   `cmd:"" help:"Ask a daemon to finish what is under way and to end."`
-	Explain explain `cmd:"" help:"Show the decisions made for one request."`
+	Status  status  `cmd:"" help:"Show the status of daemons."`
+	Drain   drain   `cmd:"" help:"Ask a daemon to finish its requests in flight and exit."`
+	Explain explain `cmd:"" help:"Show the logged decisions for one request."`
 }
 
-// output writes results for people or for scripts.
+// output writes results as tables, or as JSON for scripts.
 type output struct {
 	out  io.Writer
 	json bool
 }
 
-// environmentFlags name an environment of one platform.
+// environmentFlags identify an environment on one platform.
 type environmentFlags struct {
 	Platform    string `required:"" env:"TURMERICWALL_PLATFORM" help:"Base URL of the platform's service."`
 	Environment string `required:"" env:"TURMERICWALL_ENVIRONMENT" help:"Environment, such as trial or production."`
 }
 
-// operationsFlags name the daemons.
+// operationsFlags list the daemons to call.
 type operationsFlags struct {
 	Daemons []string `required:"" env:"TURMERICWALL_DAEMONS" help:"Operators' listeners of the daemons, as IP:port."`
 }
 
-// Run runs the command line and returns the exit code.
+// Run parses the arguments, runs the command, and returns the exit code.
 func Run(arguments []string, out, errOut io.Writer) int {
 	commands := &Commands{}
 	return twprogram.New(twprogram.Config{
@@ -70,7 +71,7 @@
 		Description: description,
 		Commands:    commands,
 		Bind:        func() []any { return []any{&output{out: out, json: commands.JSON}} },
-		CodeOf:      codeOf,
+		CodeOf:      exitCodeOf,
 		Out:         out,
 		Err:         errOut,
 	}).Run(arguments)
@@ -81,7 +82,7 @@
 	return twpublisher.New(twpublisher.Config{Table: table, Environment: e.Environment})
 }
 
-// write prints a value as JSON, or the rows as a table.
+// write prints the value as JSON, or the rows as a table with aligned columns.
 func (o *output) write(value any, rows ...[]any) error {
 	if o.json {
 		encoder := json.NewEncoder(o.out)
@@ -101,7 +102,8 @@
 	return table.Flush()
 }
 
-func operator() string {
+// operatorName returns the name of the current user, which the history of an environment records.
+func operatorName() string {
 	current, err := user.Current()
 	if err != nil {
 		return "unknown"
@@ -109,13 +111,15 @@
 	return current.Username
 }
 
-// errDiffers is a result that scripts can tell from a failure.
-var errDiffers = errors.New("not in order")
+// errConditionNotMet marks a command that ran but did not find the state that it asks for, so that scripts can tell
+// this from a failure by the exit code.
+var errConditionNotMet = errors.New("condition not met")
 
-func codeOf(err error) int {
+// exitCodeOf maps a command's error to the exit code.
+func exitCodeOf(err error) int {
 	switch {
-	case errors.Is(err, errDiffers):
-		return exitDiffers
+	case errors.Is(err, errConditionNotMet):
+		return exitConditionNotMet
 	case turmericwall.IsKind(err, turmericwall.KindConflict):
 		return exitConflict
 	case turmericwall.IsKind(err, turmericwall.KindInvalidDocument), errors.Is(err, os.ErrNotExist):
--- a/turmericwallctl/internal/twcommand/document.go
+++ b/turmericwallctl/internal/twcommand/document.go
@@ -12,25 +12,25 @@
 	"github.com/turmericwall/turmericwall/internal/document/twpublisher"
 )
 
-// shortDigest is how many digits of a digest tables show.
+// shortDigest is the number of hex digits of a digest that tables show.
 const shortDigest = 12
 
 type check struct {
 	File string `arg:"" type:"path" help:"Document, JSON with comments."`
 }
 
-type checked struct {
+type checkResult struct {
 	Valid  bool   `json:"valid"`
 	Digest string `json:"digest"`
 }
 
-// Run checks a document.
+// Run parses and validates a document, and prints its digest.
 func (c *check) Run(o *output) error {
-	document, err := read(c.File)
+	document, err := parseFile(c.File)
 	if err != nil {
 		return err
 	}
-	return o.write(checked{Valid: true, Digest: document.Digest()},
+	return o.write(checkResult{Valid: true, Digest: document.Digest()},
 		[]any{"valid", document.Digest()[:shortDigest]},
 		[]any{"services", len(document.Services())},
 		[]any{"accounts", len(document.Accounts())})
@@ -41,15 +41,16 @@
 	File string `arg:"" type:"path" help:"Document, JSON with comments."`
 }
 
-type difference struct {
+// lineDiff lists the lines that a document removes from and adds to the revision in force.
+type lineDiff struct {
 	Revision int64    `json:"revision"`
 	Removed  []string `json:"removed"`
 	Added    []string `json:"added"`
 }
 
-// Run compares line by line with the revision in force.
+// Run compares the document line by line with the revision in force, and returns errConditionNotMet if they differ.
 func (d *diff) Run(ctx context.Context, o *output) error {
-	document, err := read(d.File)
+	document, err := parseFile(d.File)
 	if err != nil {
 		return err
 	}
@@ -66,7 +67,7 @@
 		}
 		current = entry.Source
 	}
-	found := compare(string(current), string(document.Source()))
+	found := diffLines(string(current), string(document.Source()))
 	found.Revision = head.Revision
 	rows := [][]any{{fmt.Sprintf("against revision %d of %s", head.Revision, d.Environment)}}
 	for _, line := range found.Removed {
@@ -79,18 +80,19 @@
 		return err
 	}
 	if len(found.Added)+len(found.Removed) > 0 {
-		return fmt.Errorf("the document differs from the one in force: %w", errDiffers)
+		return fmt.Errorf("the document differs from the one in force: %w", errConditionNotMet)
 	}
 	return nil
 }
 
-// compare lists the lines that only one side has, each as often as it has more of them.
-func compare(before, after string) difference {
+// diffLines compares the two texts as multisets of lines: a line is listed as often as one side has it more often than
+// the other. The order of lines and empty lines are ignored.
+func diffLines(before, after string) lineDiff {
 	counts := make(map[string]int)
 	for line := range strings.SplitSeq(after, "\n") {
 		counts[line]++
 	}
-	d := difference{Removed: []string{}, Added: []string{}}
+	d := lineDiff{Removed: []string{}, Added: []string{}}
 	for line := range strings.SplitSeq(before, "\n") {
 		counts[line]--
 		if counts[line] < 0 && line != "" {
@@ -109,17 +111,17 @@
 type apply struct {
 	environmentFlags
 	File string `arg:"" type:"path" help:"Document, JSON with comments."`
-	Base int64  `required:"" help:"Revision that the document was made from; 0 for a new environment."`
+	Base int64  `required:"" help:"Revision that the document is based on; 0 for a new environment."`
 }
 
-// Run applies a document on top of the revision it was made from.
+// Run applies a document if the revision that it is based on is still in force; otherwise it fails with a conflict.
 func (a *apply) Run(ctx context.Context, o *output) error {
-	document, err := read(a.File)
+	document, err := parseFile(a.File)
 	if err != nil {
 		return err
 	}
 	head, err := a.publisher().Apply(ctx, a.Base, twpublisher.Entry{
-		Source: document.Source(), At: time.Now().UTC(), Operator: operator(),
+		Source: document.Source(), At: time.Now().UTC(), Operator: operatorName(),
 	})
 	if err != nil {
 		return err
@@ -132,7 +134,7 @@
 	operationsFlags
 }
 
-// Run records a proof when every daemon has the document in force and some requests were answered.
+// Run records a proof if every daemon runs the revision in force and at least one request was answered under it.
 func (p *prove) Run(ctx context.Context, o *output) error {
 	publisher := p.publisher()
 	head, _, err := publisher.Head(ctx)
@@ -146,14 +148,14 @@
 			return err
 		}
 		if s.Digest != head.Digest || s.Environment != p.Environment {
-			return fmt.Errorf("daemon %s has revision %d of %s in force, not %d: wait for it: %w", address, s.Revision, s.Environment, head.Revision, errDiffers)
+			return fmt.Errorf("daemon %s has revision %d of %s in force, not %d: retry when it has followed: %w", address, s.Revision, s.Environment, head.Revision, errConditionNotMet)
 		}
 		proof.VMs = append(proof.VMs, s.Incarnation)
 		proof.Answered += s.Answered
 		proof.Failed += s.Failed
 	}
 	if proof.Answered == 0 {
-		return fmt.Errorf("no request was answered under revision %d: send it trial work first: %w", head.Revision, errDiffers)
+		return fmt.Errorf("no request was answered under revision %d: send trial requests first: %w", head.Revision, errConditionNotMet)
 	}
 	if err := publisher.Prove(ctx, proof); err != nil {
 		return err
@@ -165,10 +167,10 @@
 	Platform string `required:"" env:"TURMERICWALL_PLATFORM" help:"Base URL of the platform's service."`
 	From     string `default:"trial" help:"Environment in which the document was proved."`
 	To       string `default:"production" help:"Environment to promote it to."`
-	Base     int64  `required:"" help:"Revision of the target that you have looked at."`
+	Base     int64  `required:"" help:"Revision of the target that the change is based on."`
 }
 
-// Run promotes the proved bytes unchanged.
+// Run applies the bytes that were proved in the source environment to the target, unchanged.
 func (p *promote) Run(ctx context.Context, o *output) error {
 	source := environmentFlags{Platform: p.Platform, Environment: p.From}.publisher()
 	target := environmentFlags{Platform: p.Platform, Environment: p.To}.publisher()
@@ -188,7 +190,7 @@
 		return err
 	}
 	accepted, err := target.Apply(ctx, p.Base, twpublisher.Entry{
-		Source: entry.Source, At: time.Now().UTC(), Operator: operator(), PromotedFrom: p.From,
+		Source: entry.Source, At: time.Now().UTC(), Operator: operatorName(), PromotedFrom: p.From,
 	})
 	if err != nil {
 		return err
@@ -213,10 +215,11 @@
 	return o.write(entries, rows...)
 }
 
-func read(path string) (*turmericwall.Document, error) {
+// parseFile reads and validates a document.
+func parseFile(path string) (*turmericwall.Document, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("read the document: %w", err)
+		return nil, fmt.Errorf("read the document, check its path: %w", err)
 	}
 	return twparser.New(path).Parse(0, source)
 }
--- a/turmericwallctl/internal/twcommand/operations.go
+++ b/turmericwallctl/internal/twcommand/operations.go
@@ -14,33 +14,35 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twtrace"
 )
 
-const callTimeout = 5 * time.Second
+// daemonCallTimeout bounds one call of a daemon's operators' listener.
+const daemonCallTimeout = 5 * time.Second
 
 type status struct {
 	operationsFlags
 }
 
-// Run shows each daemon; it ends with exit code 4 unless all are ready with one revision.
+// Run shows each daemon, and returns errConditionNotMet unless all of them are reachable, ready and at the same
+// revision.
 func (s *status) Run(ctx context.Context, o *output) error {
 	var all []twoperations.Status
 	rows := [][]any{{"DAEMON", "READY", "REVISION", "IN FLIGHT", "DEFERRABLE", "CANCELS", "PEERS", "KEEPS"}}
-	inOrder := true
+	allInOrder := true
 	for _, address := range s.Daemons {
 		d, err := daemonStatus(ctx, address)
 		if err != nil {
-			inOrder = false
+			allInOrder = false
 			rows = append(rows, []any{address, "unreachable"})
 			continue
 		}
 		all = append(all, d)
-		inOrder = inOrder && d.Ready && d.Revision == all[0].Revision
+		allInOrder = allInOrder && d.Ready && d.Revision == all[0].Revision
 		rows = append(rows, []any{d.Incarnation, d.Ready, d.Revision, d.InFlight, d.Deferrable, d.Cancels, len(d.Peers), strings.Join(d.Keeps, ",")})
 	}
 	if err := o.write(all, rows...); err != nil {
 		return err
 	}
-	if !inOrder {
-		return fmt.Errorf("a daemon is unreachable, not ready, or at another revision: %w", errDiffers)
+	if !allInOrder {
+		return fmt.Errorf("a daemon is unreachable, not ready, or at another revision: %w", errConditionNotMet)
 	}
 	return nil
 }
@@ -49,14 +51,14 @@
 	Daemon string `arg:"" help:"Operators' listener of the daemon, as IP:port."`
 }
 
-// Run starts a graceful shutdown.
+// Run starts a graceful shutdown of the daemon and returns without waiting for its end.
 func (d *drain) Run(ctx context.Context, o *output) error {
-	if _, err := request(ctx, http.MethodPost, d.Daemon, "/drain", nil); err != nil {
+	if _, err := callDaemon(ctx, http.MethodPost, d.Daemon, "/drain", nil); err != nil {
 		return err
 	}
 	return o.write(struct {
 		Draining string `json:"draining"`
-	}{d.Daemon}, []any{d.Daemon, "finishes what is under way, and then ends"})
+	}{d.Daemon}, []any{d.Daemon, "draining; it exits when its requests in flight have finished"})
 }
 
 type explain struct {
@@ -64,18 +66,18 @@
 	ID string `arg:"" help:"Request id, from X-Request-Id or a Location."`
 }
 
-// Run gathers the request's log lines from all daemons, in the order of their times.
+// Run collects the request's log lines from all daemons and prints them by time.
 func (e *explain) Run(ctx context.Context, o *output) error {
 	var lines []twtrace.Line
 	for _, address := range e.Daemons {
 		var found []twtrace.Line
-		if _, err := request(ctx, http.MethodGet, address, "/explain?id="+url.QueryEscape(e.ID), &found); err != nil {
+		if _, err := callDaemon(ctx, http.MethodGet, address, "/explain?id="+url.QueryEscape(e.ID), &found); err != nil {
 			return err
 		}
 		lines = append(lines, found...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no daemon remembers request %s: it is older than the last few thousand, or its daemon was replaced: %w", e.ID, errDiffers)
+		return fmt.Errorf("no daemon has a trace of request %s: a daemon keeps the last few thousand only, or the request's daemon was replaced: %w", e.ID, errConditionNotMet)
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 	rows := [][]any{{"AT", "EVENT", "WHAT", "FIELDS"}}
@@ -87,17 +89,18 @@
 
 func daemonStatus(ctx context.Context, address string) (twoperations.Status, error) {
 	var s twoperations.Status
-	_, err := request(ctx, http.MethodGet, address, "/status", &s)
+	_, err := callDaemon(ctx, http.MethodGet, address, "/status", &s)
 	return s, err
 }
 
-// request calls a daemon's operators' listener and decodes its answer.
-func request(ctx context.Context, method, address, path string, target any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// callDaemon calls a daemon's operators' listener, decodes the JSON answer into target unless that is nil, and
+// returns the status. A status of 400 or more is an error.
+func callDaemon(ctx context.Context, method, address, path string, target any) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, daemonCallTimeout)
 	defer cancel()
 	call, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, http.NoBody)
 	if err != nil {
-		return 0, fmt.Errorf("build the call, give daemons as IP:port: %w", err)
+		return 0, fmt.Errorf("build the call of a daemon, give daemons as IP:port: %w", err)
 	}
 	response, err := http.DefaultClient.Do(call)
 	if err != nil {
@@ -105,7 +108,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusBadRequest {
-		return response.StatusCode, fmt.Errorf("daemon %s answered status %d", address, response.StatusCode)
+		return response.StatusCode, fmt.Errorf("daemon %s answered with status %d, read its log", address, response.StatusCode)
 	}
 	if target == nil {
 		return response.StatusCode, nil
--- a/turmericwallctl/main.go
+++ b/turmericwallctl/main.go
@@ -1,4 +1,4 @@
-// Command turmericwallctl is the operators' command line.
+// Command turmericwallctl is the operators' command line: it publishes documents and inspects and drains daemons.
 package main
 
 import (
