--- a/turmericwallstand/e2e/answers_test.go
+++ b/turmericwallstand/e2e/answers_test.go
@@ -33,7 +33,7 @@
 	// answer with a finish reason. The caller sees its own tokens, each once and in order.
 	It("are put together from doubled, swapped and foreign chunks", func(ctx SpecContext) {
 		for _, p := range s.decode {
-			control(p.address, "faults", twenginestand.Faults{DoubleChunks: true, SwapChunks: true, ForeignChunks: true})
+			control(p.address, "faults", twenginestand.Faults{DuplicateChunks: true, SwapChunks: true, ForeignChunks: true})
 		}
 		expectWhole(s.stream(ctx, s.daemons[0], prompt, 40), 40)
 	})
@@ -80,7 +80,7 @@
 		go func() { replies <- s.stream(ctx, s.daemons[0], prompt, 80) }()
 		Eventually(s.held).ShouldNot(BeEmpty())
 		for _, p := range append(s.prefill, s.decode...) {
-			control(p.address, "faults", twenginestand.Faults{SilenceOpen: true})
+			control(p.address, "faults", twenginestand.Faults{StallOpenConnections: true})
 		}
 		var r reply
 		Eventually(replies).WithTimeout(callTimeout).Should(Receive(&r))
--- a/turmericwallstand/e2e/calls_test.go
+++ b/turmericwallstand/e2e/calls_test.go
@@ -149,7 +149,7 @@
 type engineStats struct {
 	PrefillTokens  int      `json:"prefillTokens"`
 	ExportsEvicted int      `json:"exportsEvicted"`
-	Asked          int      `json:"asked"`
+	Received       int      `json:"asked"`
 	Started        int      `json:"started"`
 	Held           []string `json:"held"`
 	PiecesUsed     int      `json:"piecesUsed"`
--- a/turmericwallstand/e2e/operations_test.go
+++ b/turmericwallstand/e2e/operations_test.go
@@ -53,12 +53,12 @@
 	expectNoNewWork := func(ctx SpecContext, leaving *process) {
 		GinkgoHelper()
 		time.Sleep(4 * time.Second)
-		before := leaving.stats().Asked
+		before := leaving.stats().Received
 		for i := range 8 {
 			r := s.stream(ctx, s.daemons[i%2], fmt.Sprintf("question %d", i), 5)
 			Expect(r.whole).To(BeTrue())
 		}
-		Expect(leaving.stats().Asked).To(Equal(before))
+		Expect(leaving.stats().Received).To(Equal(before))
 	}
 
 	// The platform marks an engine's VM as leaving, and its list shows this late.
--- a/turmericwallstand/internal/twenginestand/completion.go
+++ b/turmericwallstand/internal/twenginestand/completion.go
@@ -13,7 +13,7 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twblocks"
 )
 
-type callBody struct {
+type completionRequest struct {
 	Model     string         `json:"model"`
 	Prompt    string         `json:"prompt"`
 	MaxTokens int            `json:"max_tokens"`
@@ -27,15 +27,16 @@
 	turmericwall.Export
 }
 
-type prefillAnswer struct {
+type prefillResponse struct {
 	ID       string         `json:"id"`
 	Transfer transferParams `json:"kv_transfer_params"`
 }
 
-// complete handles a prefill that exports, or a decode that imports.
-func (e *Engine) complete(c echo.Context) error {
-	var call callBody
-	if err := c.Bind(&call); err != nil || call.Prompt == "" || call.MaxTokens < 1 || !e.serves(call.Model) {
+// handleCompletion handles a prefill that exports its KV cache, or a decode that imports one. Any other call gets
+// status 400.
+func (e *Engine) handleCompletion(c echo.Context) error {
+	var call completionRequest
+	if err := c.Bind(&call); err != nil || call.Prompt == "" || call.MaxTokens < 1 || !e.servesModel(call.Model) {
 		return c.NoContent(http.StatusBadRequest)
 	}
 	attempt := c.Request().Header.Get("X-Request-Id")
@@ -49,7 +50,7 @@
 	}
 }
 
-func (e *Engine) serves(model string) bool {
+func (e *Engine) servesModel(model string) bool {
 	for _, m := range e.config.Models {
 		if m == model {
 			return true
@@ -58,9 +59,9 @@
 	return false
 }
 
-// lifetime is the context of an attempt: it ends with a cancel, and with its caller unless the engine
-// ignores that.
-func (e *Engine) lifetime(c echo.Context) (context.Context, context.CancelFunc) {
+// attemptContext returns the context of an attempt. It ends when the attempt is cancelled and when its caller
+// disconnects, unless the engine ignores disconnects.
+func (e *Engine) attemptContext(c echo.Context) (context.Context, context.CancelFunc) {
 	e.mu.Lock()
 	ignore := e.faults.IgnoreDisconnect
 	e.mu.Unlock()
@@ -71,20 +72,20 @@
 	return context.WithCancel(parent)
 }
 
-func (e *Engine) prefill(c echo.Context, attempt string, call callBody) error {
-	ctx, cancel := e.lifetime(c)
+func (e *Engine) prefill(c echo.Context, attempt string, call completionRequest) error {
+	ctx, cancel := e.attemptContext(c)
 	defer cancel()
 	tokens := twblocks.Tokens(call.Prompt)
 	if status := e.acquire(attempt, piecesOf(tokens), cancel); status != http.StatusOK {
 		return c.NoContent(status)
 	}
-	computed, err := e.compute(ctx, call, tokens)
+	computed, err := e.computePrompt(ctx, call, tokens)
 	if err != nil {
 		e.release(attempt)
 		return c.NoContent(http.StatusConflict)
 	}
-	e.offer(attempt, tokens, computed)
-	return c.JSON(http.StatusOK, prefillAnswer{
+	e.holdExport(attempt, tokens, computed)
+	return c.JSON(http.StatusOK, prefillResponse{
 		ID: "cmpl-" + attempt,
 		Transfer: transferParams{RemotePrefill: true, Export: turmericwall.Export{
 			Engine: e.config.Name, Address: c.Request().Host, ID: attempt, ComputedTokens: computed,
@@ -92,31 +93,31 @@
 	})
 }
 
-func (e *Engine) decode(c echo.Context, attempt string, call callBody) error {
-	ctx, cancel := e.lifetime(c)
+func (e *Engine) decode(c echo.Context, attempt string, call completionRequest) error {
+	ctx, cancel := e.attemptContext(c)
 	defer cancel()
 	pieces := piecesOf(twblocks.Tokens(call.Prompt) + call.MaxTokens)
 	if status := e.acquire(attempt, pieces, cancel); status != http.StatusOK {
 		return c.NoContent(status)
 	}
 	defer e.release(attempt)
-	if err := e.takeSlot(ctx, call.Priority); err != nil {
+	if err := e.acquireSlot(ctx, call.Priority); err != nil {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
-	defer e.giveSlot()
-	if status := pull(ctx, call.Transfer.Export); status != http.StatusOK {
+	defer e.releaseSlot()
+	if status := pullExport(ctx, call.Transfer.Export); status != http.StatusOK {
 		return c.NoContent(status)
 	}
 	return e.generate(ctx, c, attempt, call)
 }
 
-// generate streams the answer, one token a step.
-func (e *Engine) generate(ctx context.Context, c echo.Context, attempt string, call callBody) error {
-	w := newWriter(c, e.currentFaults(), attempt, call.Model)
-	text := newText(call.Prompt)
+// generate streams the answer, one token per decode step.
+func (e *Engine) generate(ctx context.Context, c echo.Context, attempt string, call completionRequest) error {
+	w := newChunkWriter(c, e.currentFaults(), attempt, call.Model)
+	text := newTextGenerator(call.Prompt)
 	next := time.Now()
 	for i := 1; i <= call.MaxTokens; i++ {
-		next = next.Add(e.step())
+		next = next.Add(e.stepDuration())
 		timer := time.NewTimer(time.Until(next))
 		select {
 		case <-ctx.Done():
@@ -124,21 +125,22 @@
 			abort()
 		case <-timer.C:
 		}
-		if w.brokenAt(i) {
+		if w.breaksAt(i) {
 			abort()
 		}
-		if e.silent(c) {
+		if e.isUnresponsive(c) {
 			<-ctx.Done()
 			abort()
 		}
 		e.countDecoded()
-		w.token(i, text.next(), i == call.MaxTokens)
+		w.writeToken(i, text.nextWord(), i == call.MaxTokens)
 	}
-	w.done()
+	w.writeDone()
 	return nil
 }
 
-// abort breaks the connection, as an engine does that dies; this is net/http's own way to do so.
+// abort closes the connection without an end of the response, as a crashed engine would. net/http provides this panic
+// value for the purpose.
 func abort() { panic(http.ErrAbortHandler) }
 
 func (e *Engine) currentFaults() Faults {
@@ -147,7 +149,7 @@
 	return e.faults
 }
 
-func (e *Engine) step() time.Duration {
+func (e *Engine) stepDuration() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Duration((e.config.StepMillis + e.config.StepPerSlotMillis*float64(e.active)) * float64(time.Millisecond))
@@ -159,13 +161,14 @@
 	e.stats.DecodedTokens++
 }
 
-// writer writes chunks, with the faults that concern them.
-type writer struct {
+// chunkWriter writes the chunks of a stream and injects the faults that concern them.
+type chunkWriter struct {
 	c       echo.Context
 	faults  Faults
 	attempt string
 	model   string
-	swapped []byte
+	// delayed is a chunk that SwapChunks sends after its successor.
+	delayed []byte
 }
 
 type chunk struct {
@@ -186,35 +189,37 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func newWriter(c echo.Context, faults Faults, attempt, model string) *writer {
+func newChunkWriter(c echo.Context, faults Faults, attempt, model string) *chunkWriter {
 	c.Response().Header().Set(echo.HeaderContentType, "text/event-stream")
-	return &writer{c: c, faults: faults, attempt: attempt, model: model}
+	return &chunkWriter{c: c, faults: faults, attempt: attempt, model: model}
 }
 
-func (w *writer) brokenAt(token int) bool {
+// breaksAt reports whether the stream breaks before the token.
+func (w *chunkWriter) breaksAt(token int) bool {
 	return w.faults.BreakAfterTokens > 0 && token > w.faults.BreakAfterTokens
 }
 
-func (w *writer) token(index int, text string, last bool) {
+// writeToken writes the chunk of one token; the last one has a finish reason.
+func (w *chunkWriter) writeToken(index int, text string, last bool) {
 	encoded := w.encode(w.attempt, index, text, last)
-	if w.faults.SwapChunks && w.swapped == nil && !last {
-		w.swapped = encoded
+	if w.faults.SwapChunks && w.delayed == nil && !last {
+		w.delayed = encoded
 		return
 	}
-	w.send(encoded)
-	if w.swapped != nil {
-		w.send(w.swapped)
-		w.swapped = nil
+	w.writeEvent(encoded)
+	if w.delayed != nil {
+		w.writeEvent(w.delayed)
+		w.delayed = nil
 	}
-	if w.faults.DoubleChunks {
-		w.send(encoded)
+	if w.faults.DuplicateChunks {
+		w.writeEvent(encoded)
 	}
 	if w.faults.ForeignChunks {
-		w.send(w.encode("another/1", index+1, "foreign", true))
+		w.writeEvent(w.encode("another/1", index+1, "foreign", true))
 	}
 }
 
-func (w *writer) encode(attempt string, index int, text string, last bool) []byte {
+func (w *chunkWriter) encode(attempt string, index int, text string, last bool) []byte {
 	ch := choice{Text: text}
 	if last {
 		finish := "length"
@@ -230,9 +235,9 @@
 	return encoded
 }
 
-func (w *writer) send(encoded []byte) {
+func (w *chunkWriter) writeEvent(encoded []byte) {
 	_, _ = fmt.Fprintf(w.c.Response(), "data: %s\n\n", encoded)
 	w.c.Response().Flush()
 }
 
-func (w *writer) done() { w.send([]byte("[DONE]")) }
+func (w *chunkWriter) writeDone() { w.writeEvent([]byte("[DONE]")) }
--- a/turmericwallstand/internal/twenginestand/engine.go
+++ b/turmericwallstand/internal/twenginestand/engine.go
@@ -1,4 +1,6 @@
-// Package twenginestand stands in for a model engine, in the role of prefill or decode.
+// Package twenginestand simulates a model engine in the prefill or the decode role. It takes an engine's place behind
+// the daemons in tests and load runs: it has the engine's endpoints, timing, memory, prompt cache and KV transfers,
+// generates a text that a test can predict, and injects faults that a test switches on.
 package twenginestand
 
 import (
@@ -17,98 +19,103 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twtask"
 )
 
-// Defaults of an engine.
+// Defaults of an engine's configuration, and the fixed parts of its simulation: a piece is the unit of memory, an
+// export that is not pulled within exportLifetime is evicted, the report at /load is renewed every reportInterval,
+// and a cache event becomes visible after eventDelay.
 const (
-	defaultSlots       = 20
-	defaultPieces      = 64
-	defaultPrefillRate = 10_000
-	defaultStepMillis  = 25
-	defaultStepPerSlot = 1.2
-	defaultCacheBlocks = 4096
-	defaultLinkRate    = 4_000
-	defaultQueue       = 20
-	pieceTokens        = 4096
-	exportLife         = 800 * time.Millisecond
-	reportEvery        = 500 * time.Millisecond
-	eventDelay         = 300 * time.Millisecond
-	kvBytesPerToken    = 120_000
-	bytesPerMegabyte   = 1e6
+	defaultSlots                  = 20
+	defaultPieces                 = 64
+	defaultPrefillRate            = 10_000
+	defaultStepMillis             = 25
+	defaultStepPerSlotMillis      = 1.2
+	defaultCacheBlocks            = 4096
+	defaultLinkMegabytesPerSecond = 4_000
+	defaultQueue                  = 20
+	pieceTokens                   = 4096
+	exportLifetime                = 800 * time.Millisecond
+	reportInterval                = 500 * time.Millisecond
+	eventDelay                    = 300 * time.Millisecond
+	kvBytesPerToken               = 120_000
+	bytesPerMegabyte              = 1e6
 )
 
-// Engine is one stand-in engine.
+// Engine simulates one engine. Its methods are safe for concurrent use.
 type Engine struct {
 	config Config
 	server *http.Server
 	conns  atomic.Int64
 
-	mu       sync.Mutex
-	faults   Faults
-	stats    Stats
-	held     map[string]*hold
-	gone     map[string]time.Time
-	exports  map[string]*export
-	jobs     []*job
-	wake     chan struct{}
-	waiting  []*waiter
-	active   int
-	pieces   int
-	report   turmericwall.Report
-	reported time.Time
-	cache    *simplelru.LRU[uint64, struct{}]
-	events   []stampedEvent
-	sequence uint64
-	linkBusy time.Time
+	mu             sync.Mutex
+	faults         Faults
+	stats          Stats
+	held           map[string]*allocation
+	cancelledUntil map[string]time.Time
+	exports        map[string]*export
+	jobs           []*job
+	wake           chan struct{}
+	waiting        []*waiter
+	active         int
+	pieces         int
+	report         turmericwall.Report
+	reportedAt     time.Time
+	cache          *simplelru.LRU[uint64, struct{}]
+	events         []delayedEvent
+	sequence       uint64
+	linkBusyUntil  time.Time
 }
 
-// Config describes an engine.
+// Config describes an engine; unset numbers get their defaults.
 type Config struct {
 	Name   string
 	Role   turmericwall.Role
 	Models []string
-	// Slots is how many attempts decode at a time; Queue is how many more may wait.
+	// Slots is the number of attempts that decode at a time; Queue is how many more may wait for a slot.
 	Slots int
 	Queue int
-	// Pieces is the memory, in units of 4,096 tokens.
+	// Pieces is the engine's memory, in pieces of 4,096 tokens.
 	Pieces int
-	// PrefillRate is in tokens a second.
+	// PrefillRate is the number of prompt tokens computed per second.
 	PrefillRate float64
-	// StepMillis and StepPerSlotMillis give the time between tokens.
+	// A decode step, the time between two tokens of an attempt, takes StepMillis and StepPerSlotMillis more for each
+	// active slot.
 	StepMillis        float64
 	StepPerSlotMillis float64
-	CacheBlocks       int
+	// CacheBlocks is the capacity of the prompt cache in blocks.
+	CacheBlocks int
 	// LinkMegabytesPerSecond is the rate at which exports leave the engine.
 	LinkMegabytesPerSecond float64
 	// EventLoss is the share of cache events that are never published.
 	EventLoss float64
 }
 
-// Faults are switched while the engine runs.
+// Faults are the faults that the engine injects. They are switched while it runs.
 type Faults struct {
-	// IgnoreDisconnect keeps attempts going after their caller is gone.
+	// IgnoreDisconnect lets attempts continue after their caller has disconnected.
 	IgnoreDisconnect bool `json:"ignoreDisconnect"`
-	// ForgetCancels lets a start through that its cancel has overtaken.
-	ForgetCancels bool `json:"forgetCancels"`
-	// BreakAfterTokens breaks each stream off after so many tokens; 0 breaks none.
+	// AllowStartAfterCancel accepts the start of an attempt whose cancel arrived first.
+	AllowStartAfterCancel bool `json:"forgetCancels"`
+	// BreakAfterTokens breaks the connection of each stream after this number of tokens; 0 breaks none.
 	BreakAfterTokens int `json:"breakAfterTokens"`
-	// DoubleChunks sends each chunk twice, SwapChunks sends pairs in the wrong order, ForeignChunks adds
+	// DuplicateChunks sends each chunk twice, SwapChunks swaps the chunks of each pair, and ForeignChunks adds
 	// chunks of another attempt.
-	DoubleChunks  bool `json:"doubleChunks"`
-	SwapChunks    bool `json:"swapChunks"`
-	ForeignChunks bool `json:"foreignChunks"`
-	// StallTransfers lets exports hang.
+	DuplicateChunks bool `json:"doubleChunks"`
+	SwapChunks      bool `json:"swapChunks"`
+	ForeignChunks   bool `json:"foreignChunks"`
+	// StallTransfers accepts the pull of an export and never answers it.
 	StallTransfers bool `json:"stallTransfers"`
 	// LinkFactor scales the rate at which exports leave; 0 counts as 1.
 	LinkFactor float64 `json:"linkFactor"`
-	Draining   bool    `json:"draining"`
-	// SilenceOpen makes the connections that are open now silent for good; new ones work.
-	SilenceOpen bool `json:"silenceOpen"`
-	// RefuseFull answers new attempts as if there were no room.
+	// Draining refuses new attempts and is stated in the engine's report.
+	Draining bool `json:"draining"`
+	// StallOpenConnections makes all connections that are open at this time unresponsive for good; new ones work.
+	StallOpenConnections bool `json:"silenceOpen"`
+	// RefuseFull refuses new attempts as if the engine were full.
 	RefuseFull bool `json:"refuseFull"`
-	// silentUpTo is the last connection that is silent.
-	silentUpTo int64
+	// unresponsiveUpTo is the number of the last connection that is unresponsive.
+	unresponsiveUpTo int64
 }
 
-// Stats is what the engine has done.
+// Stats are the engine's counters and what it holds at present.
 type Stats struct {
 	PrefillTokens  int64 `json:"prefillTokens"`
 	CachedTokens   int64 `json:"cachedTokens"`
@@ -116,42 +123,43 @@
 	ExportsEvicted int64 `json:"exportsEvicted"`
 	EvictedTokens  int64 `json:"evictedTokens"`
 	Pulled         int64 `json:"pulled"`
-	// Asked counts the attempts that came in, Started those that were not refused.
-	Asked      int64    `json:"asked"`
-	Started    int64    `json:"started"`
+	// Received counts all attempts, Started those that were not refused.
+	Received int64 `json:"asked"`
+	Started  int64 `json:"started"`
+	// Held lists the attempts that hold memory.
 	Held       []string `json:"held"`
 	PiecesUsed int      `json:"piecesUsed"`
 }
 
-// hold is what an attempt holds on the engine.
-type hold struct {
+// allocation is the memory that an attempt holds, with the function that ends the attempt.
+type allocation struct {
 	pieces int
 	cancel context.CancelFunc
 }
 
-// New returns an engine; unset fields get their defaults.
+// New returns an engine; unset fields of the configuration get their defaults.
 func New(config Config) *Engine {
 	config.setDefaults()
 	cache, _ := simplelru.NewLRU[uint64, struct{}](config.CacheBlocks, nil)
 	e := &Engine{
-		config:  config,
-		held:    make(map[string]*hold),
-		gone:    make(map[string]time.Time),
-		exports: make(map[string]*export),
-		wake:    make(chan struct{}, 1),
-		cache:   cache,
+		config:         config,
+		held:           make(map[string]*allocation),
+		cancelledUntil: make(map[string]time.Time),
+		exports:        make(map[string]*export),
+		wake:           make(chan struct{}, 1),
+		cache:          cache,
 	}
-	e.snapshot(time.Now())
+	e.updateReport(time.Now())
 	router := echo.New()
-	engine := router.Group("", e.silence)
-	engine.POST("/v1/completions", e.complete)
-	engine.DELETE("/v1/requests", e.cancel)
-	engine.GET("/load", e.load)
-	engine.GET("/cache/events", e.cacheEvents)
-	engine.GET("/kv", e.kv)
+	engine := router.Group("", e.holdUnresponsive)
+	engine.POST("/v1/completions", e.handleCompletion)
+	engine.DELETE("/v1/requests", e.cancelAttempt)
+	engine.GET("/load", e.getLoad)
+	engine.GET("/cache/events", e.getCacheEvents)
+	engine.GET("/kv", e.serveExport)
 	router.POST("/control/faults", e.setFaults)
 	router.GET("/control/stats", e.getStats)
-	e.server = &http.Server{Handler: router, ReadHeaderTimeout: time.Minute, ConnContext: e.number}
+	e.server = &http.Server{Handler: router, ReadHeaderTimeout: time.Minute, ConnContext: e.numberConnection}
 	return e
 }
 
@@ -160,27 +168,27 @@
 	c.Queue = orDefault(c.Queue, defaultQueue)
 	c.Pieces = orDefault(c.Pieces, defaultPieces)
 	c.CacheBlocks = orDefault(c.CacheBlocks, defaultCacheBlocks)
-	c.PrefillRate = orDefaultRate(c.PrefillRate, defaultPrefillRate)
-	c.StepMillis = orDefaultRate(c.StepMillis, defaultStepMillis)
-	c.StepPerSlotMillis = orDefaultRate(c.StepPerSlotMillis, defaultStepPerSlot)
-	c.LinkMegabytesPerSecond = orDefaultRate(c.LinkMegabytesPerSecond, defaultLinkRate)
+	c.PrefillRate = orDefaultFloat(c.PrefillRate, defaultPrefillRate)
+	c.StepMillis = orDefaultFloat(c.StepMillis, defaultStepMillis)
+	c.StepPerSlotMillis = orDefaultFloat(c.StepPerSlotMillis, defaultStepPerSlotMillis)
+	c.LinkMegabytesPerSecond = orDefaultFloat(c.LinkMegabytesPerSecond, defaultLinkMegabytesPerSecond)
 }
 
-func orDefault(value, other int) int {
+func orDefault(value, fallback int) int {
 	if value == 0 {
-		return other
+		return fallback
 	}
 	return value
 }
 
-func orDefaultRate(value, other float64) float64 {
+func orDefaultFloat(value, fallback float64) float64 {
 	if value == 0 {
-		return other
+		return fallback
 	}
 	return value
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve answers on the listener until ctx ends, and returns the first error of the server.
 func (e *Engine) Serve(ctx context.Context, listener net.Listener) error {
 	tasks := twtask.New(ctx)
 	tasks.Start("prefill", e.runPrefill)
@@ -189,7 +197,7 @@
 	return tasks.Wait()
 }
 
-// Stats returns what the engine has done and holds.
+// Stats returns a copy of the counters.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -199,12 +207,12 @@
 	return stats
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the faults that the engine injects.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if faults.SilenceOpen {
-		faults.silentUpTo = e.conns.Load()
+	if faults.StallOpenConnections {
+		faults.unresponsiveUpTo = e.conns.Load()
 	}
 	e.faults = faults
 }
@@ -222,14 +230,15 @@
 
 type connKey struct{}
 
-func (e *Engine) number(ctx context.Context, _ net.Conn) context.Context {
+// numberConnection gives each new connection the next number, by which unresponsive connections are told apart.
+func (e *Engine) numberConnection(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, e.conns.Add(1))
 }
 
-// silence holds calls on silent connections until the caller leaves.
-func (e *Engine) silence(next echo.HandlerFunc) echo.HandlerFunc {
+// holdUnresponsive is the middleware that holds calls on unresponsive connections until their caller disconnects.
+func (e *Engine) holdUnresponsive(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		if e.silent(c) {
+		if e.isUnresponsive(c) {
 			<-c.Request().Context().Done()
 			return nil
 		}
@@ -237,43 +246,43 @@
 	}
 }
 
-// silent tells whether the call's connection has gone silent; a stream that is under way then stops in the
-// middle, and its caller sees neither a token nor an end.
-func (e *Engine) silent(c echo.Context) bool {
+// isUnresponsive reports whether the call's connection has become unresponsive. A stream in progress then stops in the
+// middle, and its caller receives neither a token nor an end.
+func (e *Engine) isUnresponsive(c echo.Context) bool {
 	number, _ := c.Request().Context().Value(connKey{}).(int64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return number <= e.faults.silentUpTo
+	return number <= e.faults.unresponsiveUpTo
 }
 
 func (e *Engine) runReports(ctx context.Context) error {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			e.snapshot(now)
+			e.updateReport(now)
 		}
 	}
 }
 
-// snapshot takes the report that /load shows until the next one.
-func (e *Engine) snapshot(now time.Time) {
+// updateReport builds the report that /load shows until the next update, and discards expired records of cancels.
+func (e *Engine) updateReport(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	queued, urgent := e.queuedTokens()
-	e.reported = now
+	e.reportedAt = now
 	e.report = turmericwall.Report{
 		Engine: e.config.Name, Role: e.config.Role, Models: e.config.Models, Draining: e.faults.Draining,
 		Attempts: e.heldAttempts(), Slots: e.config.Slots, Pieces: e.config.Pieces, PiecesUsed: e.pieces,
 		QueuedTokens: queued, UrgentTokens: urgent, PrefillRate: e.config.PrefillRate,
 		StepMillis: e.config.StepMillis, StepPerSlotMillis: e.config.StepPerSlotMillis,
 	}
-	for attempt, until := range e.gone {
+	for attempt, until := range e.cancelledUntil {
 		if now.After(until) {
-			delete(e.gone, attempt)
+			delete(e.cancelledUntil, attempt)
 		}
 	}
 }
@@ -286,21 +295,22 @@
 	return attempts
 }
 
-func (e *Engine) load(c echo.Context) error {
+func (e *Engine) getLoad(c echo.Context) error {
 	e.mu.Lock()
 	report := e.report
-	report.AgeMillis = time.Since(e.reported).Milliseconds()
+	report.AgeMillis = time.Since(e.reportedAt).Milliseconds()
 	e.mu.Unlock()
 	return c.JSON(http.StatusOK, report)
 }
 
-// cancel frees what the attempt holds; its start is refused for a while, in case the cancel overtook it.
-func (e *Engine) cancel(c echo.Context) error {
+// cancelAttempt ends the attempt and with it frees its memory. For cancelRetention a start of the same attempt is
+// refused, since a cancel may arrive before the start that it belongs to.
+func (e *Engine) cancelAttempt(c echo.Context) error {
 	attempt := c.QueryParam("id")
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.faults.ForgetCancels {
-		e.gone[attempt] = time.Now().Add(cancelMemory)
+	if !e.faults.AllowStartAfterCancel {
+		e.cancelledUntil[attempt] = time.Now().Add(cancelRetention)
 	}
 	held, ok := e.held[attempt]
 	if !ok {
@@ -310,28 +320,31 @@
 	return c.NoContent(http.StatusOK)
 }
 
-const cancelMemory = 30 * time.Second
+// cancelRetention is how long the start of a cancelled attempt is refused.
+const cancelRetention = 30 * time.Second
 
-// acquire notes what the attempt holds; an attempt that is already held or was cancelled is refused.
+// acquire allocates memory to the attempt and returns the HTTP status: conflict if the attempt already holds memory
+// or was cancelled, and service unavailable if the engine drains or a fault makes it refuse.
 func (e *Engine) acquire(attempt string, pieces int, cancel context.CancelFunc) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stats.Asked++
+	e.stats.Received++
 	if _, ok := e.held[attempt]; ok {
 		return http.StatusConflict
 	}
-	if _, ok := e.gone[attempt]; ok {
+	if _, ok := e.cancelledUntil[attempt]; ok {
 		return http.StatusConflict
 	}
 	if e.faults.RefuseFull || e.faults.Draining {
 		return http.StatusServiceUnavailable
 	}
-	e.held[attempt] = &hold{pieces: pieces, cancel: cancel}
+	e.held[attempt] = &allocation{pieces: pieces, cancel: cancel}
 	e.pieces += pieces
 	e.stats.Started++
 	return http.StatusOK
 }
 
+// release frees the attempt's memory; it does nothing if the attempt holds none.
 func (e *Engine) release(attempt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -341,4 +354,5 @@
 	}
 }
 
+// piecesOf returns the pieces of memory that hold the tokens.
 func piecesOf(tokens int) int { return (tokens + pieceTokens - 1) / pieceTokens }
--- a/turmericwallstand/internal/twenginestand/prefill.go
+++ b/turmericwallstand/internal/twenginestand/prefill.go
@@ -13,10 +13,10 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twblocks"
 )
 
-// chunkTokens is how much prefill runs before the next job in order of priority is chosen.
+// chunkTokens is the number of tokens that prefill computes before it chooses the next job by priority.
 const chunkTokens = 512
 
-// job is one prompt in the prefill queue.
+// job is one prompt in the prefill queue. A lower priority is more urgent; 0 is urgent.
 type job struct {
 	ctx       context.Context
 	remaining int
@@ -24,24 +24,27 @@
 	done      chan struct{}
 }
 
-// export is a finished prefill that waits to be pulled.
+// export is the KV cache of a finished prefill, held until a decode engine pulls it.
 type export struct {
-	attempt  string
-	tokens   int
-	computed int
-	pulling  bool
-	evict    *time.Timer
+	attempt    string
+	tokens     int
+	computed   int
+	pulling    bool
+	evictTimer *time.Timer
 }
 
-type stampedEvent struct {
+// delayedEvent is a cache event that /cache/events shows from visibleAt on.
+type delayedEvent struct {
 	visibleAt time.Time
 	event     turmericwall.CacheEvent
 }
 
+// maxEvents is the number of cache events that are kept; older ones are discarded.
 const maxEvents = 4096
 
-// compute waits until the prompt's uncached tokens are computed.
-func (e *Engine) compute(ctx context.Context, call callBody, tokens int) (int, error) {
+// computePrompt queues the prompt, waits until its uncached tokens are computed, and returns their number. At least one
+// token is computed, even if the whole prompt is cached.
+func (e *Engine) computePrompt(ctx context.Context, call completionRequest, tokens int) (int, error) {
 	blocks := twblocks.Hashes(call.Prompt)
 	e.mu.Lock()
 	cached := min(e.cachedTokens(blocks), tokens-1)
@@ -58,10 +61,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keep(blocks)
+	e.cacheBlocks(blocks)
 	return tokens - cached, nil
 }
 
+// cachedTokens returns the number of tokens in the leading blocks that are cached.
 func (e *Engine) cachedTokens(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := e.cache.Get(b); !ok {
@@ -71,36 +75,36 @@
 	return len(blocks) * twblocks.BlockBytes / twblocks.BytesPerToken
 }
 
-// keep takes the blocks into the cache and publishes what entered and left.
-func (e *Engine) keep(blocks []uint64) {
+// cacheBlocks adds the blocks to the prompt cache and publishes an event for each block added and each one evicted.
+func (e *Engine) cacheBlocks(blocks []uint64) {
 	for _, b := range blocks {
 		if e.cache.Contains(b) {
 			continue
 		}
 		if e.cache.Len() >= e.config.CacheBlocks {
 			if old, _, ok := e.cache.RemoveOldest(); ok {
-				e.publish(turmericwall.CacheEvent{Block: old, Removed: true})
+				e.publishCacheEvent(turmericwall.CacheEvent{Block: old, Removed: true})
 			}
 		}
 		e.cache.Add(b, struct{}{})
-		e.publish(turmericwall.CacheEvent{Block: b})
+		e.publishCacheEvent(turmericwall.CacheEvent{Block: b})
 	}
 }
 
-// publish numbers the event; a lost one leaves a gap.
-func (e *Engine) publish(event turmericwall.CacheEvent) {
+// publishCacheEvent numbers and stores the event. A lost event leaves a gap in the sequence.
+func (e *Engine) publishCacheEvent(event turmericwall.CacheEvent) {
 	e.sequence++
 	event.Sequence = e.sequence
 	if rand.Float64() < e.config.EventLoss {
 		return
 	}
-	e.events = append(e.events, stampedEvent{visibleAt: time.Now().Add(eventDelay), event: event})
+	e.events = append(e.events, delayedEvent{visibleAt: time.Now().Add(eventDelay), event: event})
 	if len(e.events) > maxEvents {
 		e.events = e.events[len(e.events)-maxEvents:]
 	}
 }
 
-func (e *Engine) cacheEvents(c echo.Context) error {
+func (e *Engine) getCacheEvents(c echo.Context) error {
 	after, err := strconv.ParseUint(c.QueryParam("after"), 10, 64)
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
@@ -124,7 +128,7 @@
 	}
 }
 
-// runPrefill computes chunk by chunk, so that urgent prompts pass long ones that may wait.
+// runPrefill computes the queued prompts chunk by chunk, so that an urgent prompt overtakes a long deferrable one.
 func (e *Engine) runPrefill(ctx context.Context) error {
 	for {
 		j := e.nextJob()
@@ -141,14 +145,14 @@
 		e.mu.Lock()
 		j.remaining -= tokens
 		if j.remaining <= 0 {
-			e.dropJob(j)
+			e.removeJob(j)
 			close(j.done)
 		}
 		e.mu.Unlock()
 	}
 }
 
-// nextJob returns the first of the most urgent jobs; those whose attempt is gone are dropped.
+// nextJob returns the first of the most urgent jobs, or nil. Jobs whose attempt has ended are removed.
 func (e *Engine) nextJob() *job {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,7 +171,7 @@
 	return next
 }
 
-func (e *Engine) dropJob(done *job) {
+func (e *Engine) removeJob(done *job) {
 	kept := e.jobs[:0]
 	for _, j := range e.jobs {
 		if j != done {
@@ -177,6 +181,7 @@
 	e.jobs = kept
 }
 
+// queuedTokens returns the tokens that are still to be computed, of all jobs and of the urgent ones.
 func (e *Engine) queuedTokens() (all, urgent int) {
 	for _, j := range e.jobs {
 		all += j.remaining
@@ -187,20 +192,20 @@
 	return all, urgent
 }
 
-// offer holds the export until it is pulled, cancelled or evicted.
-func (e *Engine) offer(attempt string, tokens, computed int) {
+// holdExport makes the export available until it is pulled, cancelled or evicted after exportLifetime.
+func (e *Engine) holdExport(attempt string, tokens, computed int) {
 	x := &export{attempt: attempt, tokens: tokens, computed: computed}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.exports[attempt] = x
 	if held, ok := e.held[attempt]; ok {
-		held.cancel = func() { go e.evict(x) }
+		held.cancel = func() { go e.evictExport(x) }
 	}
-	x.evict = time.AfterFunc(exportLife, func() { e.evict(x) })
+	x.evictTimer = time.AfterFunc(exportLifetime, func() { e.evictExport(x) })
 }
 
-// evict frees an export that nobody is pulling.
-func (e *Engine) evict(x *export) {
+// evictExport frees an export unless a pull of it is in progress.
+func (e *Engine) evictExport(x *export) {
 	e.mu.Lock()
 	if e.exports[x.attempt] != x || x.pulling {
 		e.mu.Unlock()
--- a/turmericwallstand/internal/twenginestand/transfer.go
+++ b/turmericwallstand/internal/twenginestand/transfer.go
@@ -12,13 +12,14 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// transferTimeout bounds a pull, as engines give a stalled transfer up.
+// transferTimeout bounds a pull; an engine aborts a stalled transfer.
 const transferTimeout = 2 * time.Second
 
-var errFull = errors.New("no slot and no room to wait")
+var errQueueFull = errors.New("all decode slots are in use, and the queue or the memory is full")
 
-// pull imports an export from the engine that holds it; it returns the status to answer with.
-func pull(ctx context.Context, x turmericwall.Export) int {
+// pullExport imports an export from the engine that holds it, and returns the status with which to answer the decode
+// call: 410 if the export no longer exists, and 424 if the transfer failed.
+func pullExport(ctx context.Context, x turmericwall.Export) int {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+x.Address+"/kv?id="+url.QueryEscape(x.ID), http.NoBody)
@@ -39,8 +40,9 @@
 	return http.StatusOK
 }
 
-// kv lets an export leave the engine over its link, whose rate all transfers share.
-func (e *Engine) kv(c echo.Context) error {
+// serveExport transfers an export over the engine's link, whose rate all transfers share. It answers once the transfer
+// would have ended.
+func (e *Engine) serveExport(c echo.Context) error {
 	e.mu.Lock()
 	x, ok := e.exports[c.QueryParam("id")]
 	if !ok {
@@ -53,11 +55,11 @@
 		return nil
 	}
 	x.pulling = true
-	x.evict.Stop()
-	end := e.bookLink(x.tokens)
+	x.evictTimer.Stop()
+	end := e.reserveLink(x.tokens)
 	e.mu.Unlock()
-	if !wait(c.Request().Context(), end) {
-		e.putBack(x)
+	if !waitUntil(c.Request().Context(), end) {
+		e.restoreExport(x)
 		return nil
 	}
 	e.mu.Lock()
@@ -68,15 +70,16 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// putBack offers an export again whose pull was broken off.
-func (e *Engine) putBack(x *export) {
+// restoreExport makes an export available again after its pull was interrupted.
+func (e *Engine) restoreExport(x *export) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x.pulling = false
-	x.evict = time.AfterFunc(exportLife, func() { e.evict(x) })
+	x.evictTimer = time.AfterFunc(exportLifetime, func() { e.evictExport(x) })
 }
 
-func (e *Engine) bookLink(tokens int) time.Time {
+// reserveLink queues a transfer behind those in progress and returns the time at which it ends.
+func (e *Engine) reserveLink(tokens int) time.Time {
 	factor := e.faults.LinkFactor
 	if factor == 0 {
 		factor = 1
@@ -84,14 +87,15 @@
 	perSecond := e.config.LinkMegabytesPerSecond * bytesPerMegabyte * factor
 	span := time.Duration(float64(tokens) * kvBytesPerToken / perSecond * float64(time.Second))
 	now := time.Now()
-	if e.linkBusy.Before(now) {
-		e.linkBusy = now
+	if e.linkBusyUntil.Before(now) {
+		e.linkBusyUntil = now
 	}
-	e.linkBusy = e.linkBusy.Add(span)
-	return e.linkBusy
+	e.linkBusyUntil = e.linkBusyUntil.Add(span)
+	return e.linkBusyUntil
 }
 
-func wait(ctx context.Context, until time.Time) bool {
+// waitUntil waits until the time and reports whether it was reached before ctx ended.
+func waitUntil(ctx context.Context, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -102,14 +106,15 @@
 	}
 }
 
-// waiter is a decode attempt without a slot.
+// waiter is a decode attempt that waits for a slot; granted is closed when it gets one.
 type waiter struct {
 	priority int
-	given    chan struct{}
+	granted  chan struct{}
 }
 
-// takeSlot waits for a slot in the order of priorities.
-func (e *Engine) takeSlot(ctx context.Context, priority int) error {
+// acquireSlot waits for a decode slot in order of priority. It returns errQueueFull if the attempt can't wait, and the
+// error of ctx if that ends first.
+func (e *Engine) acquireSlot(ctx context.Context, priority int) error {
 	e.mu.Lock()
 	if e.active < e.config.Slots && e.pieces <= e.config.Pieces {
 		e.active++
@@ -118,21 +123,22 @@
 	}
 	if len(e.waiting) >= e.config.Queue || e.pieces > e.config.Pieces {
 		e.mu.Unlock()
-		return errFull
+		return errQueueFull
 	}
-	w := &waiter{priority: priority, given: make(chan struct{})}
-	e.insertWaiter(w)
+	w := &waiter{priority: priority, granted: make(chan struct{})}
+	e.enqueueWaiter(w)
 	e.mu.Unlock()
 	select {
-	case <-w.given:
+	case <-w.granted:
 		return nil
 	case <-ctx.Done():
-		e.leaveQueue(w)
+		e.removeWaiter(w)
 		return ctx.Err()
 	}
 }
 
-func (e *Engine) insertWaiter(w *waiter) {
+// enqueueWaiter inserts the waiter behind those of the same or a more urgent priority.
+func (e *Engine) enqueueWaiter(w *waiter) {
 	at := len(e.waiting)
 	for i, other := range e.waiting {
 		if w.priority < other.priority {
@@ -145,8 +151,8 @@
 	e.waiting[at] = w
 }
 
-// leaveQueue takes a waiter out; a slot given at the same moment goes to the next one.
-func (e *Engine) leaveQueue(w *waiter) {
+// removeWaiter removes the waiter from the queue. If it was granted a slot in the meantime, the slot is released.
+func (e *Engine) removeWaiter(w *waiter) {
 	e.mu.Lock()
 	for i, other := range e.waiting {
 		if other == w {
@@ -156,10 +162,11 @@
 		}
 	}
 	e.mu.Unlock()
-	e.giveSlot()
+	e.releaseSlot()
 }
 
-func (e *Engine) giveSlot() {
+// releaseSlot passes the slot to the first waiter, or marks it free.
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.waiting) == 0 {
@@ -168,5 +175,5 @@
 	}
 	next := e.waiting[0]
 	e.waiting = e.waiting[1:]
-	close(next.given)
+	close(next.granted)
 }
