--- a/turmericwallstand/e2e/once_test.go
+++ b/turmericwallstand/e2e/once_test.go
@@ -55,7 +55,7 @@
 	// The service reads the booking, makes it, and its connection is reset. The daemon can't know,
 	// says so, and neither it nor Go's transport sends the booking again.
 	It("are unknown, and not sent again, when the connection breaks after sending", func(ctx SpecContext) {
-		serviceFaults(twservicestand.Faults{ResetAfterAct: 10})
+		serviceFaults(twservicestand.Faults{ResetAfterExecution: 10})
 		r := s.book(ctx, s.daemons[0], "k", "12")
 		Expect(r.status).To(Equal(http.StatusGatewayTimeout))
 		Expect(r.problem.Outcome).To(Equal("unknown"))
--- a/turmericwallstand/internal/twservicestand/service.go
+++ b/turmericwallstand/internal/twservicestand/service.go
@@ -1,4 +1,6 @@
-// Package twservicestand stands in for a plain service whose calls may not be repeated.
+// Package twservicestand simulates a plain service whose calls must not be repeated. It takes such a service's place
+// behind the daemons in tests and load runs, and records each call that it executed, so that a test can count
+// repetitions.
 package twservicestand
 
 import (
@@ -15,18 +17,18 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twserve"
 )
 
-// Service acts once for each call it sees and counts what it did.
+// Service executes and records every call that reaches it. Its methods are safe for concurrent use.
 type Service struct {
 	name   string
 	server *http.Server
 
-	mu     sync.Mutex
-	acts   []Act
-	faults Faults
+	mu       sync.Mutex
+	executed []ExecutedCall
+	faults   Faults
 }
 
-// Act is one call that took effect.
-type Act struct {
+// ExecutedCall is one call that took effect.
+type ExecutedCall struct {
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Key     string `json:"key"`
@@ -34,21 +36,21 @@
 	Body    string `json:"body"`
 }
 
-// Faults are switched while the service runs.
+// Faults are the faults that the service injects. They are switched while it runs.
 type Faults struct {
-	// ResetAfterAct breaks the connection of so many further calls after they took effect.
-	ResetAfterAct int `json:"resetAfterAct"`
-	// LatencyMillis delays the answer after the call took effect.
+	// ResetAfterExecution is the number of further calls whose connection is reset after they took effect.
+	ResetAfterExecution int `json:"resetAfterAct"`
+	// LatencyMillis delays each answer after its call took effect.
 	LatencyMillis int64 `json:"latencyMillis"`
 }
 
-// New returns a service.
+// New returns a service; its answers state the name.
 func New(name string) *Service {
 	s := &Service{name: name}
 	router := echo.New()
 	router.POST("/control/faults", s.setFaults)
-	router.GET("/control/acts", s.getActs)
-	router.Any("/*", s.act)
+	router.GET("/control/acts", s.getExecutedCalls)
+	router.Any("/*", s.execute)
 	s.server = &http.Server{Handler: router, ReadHeaderTimeout: time.Minute}
 	return s
 }
@@ -58,51 +60,52 @@
 	return twserve.Until(ctx, s.server, listener)
 }
 
-// Acts returns what took effect so far.
-func (s *Service) Acts() []Act {
+// ExecutedCalls returns the calls that took effect so far, in order.
+func (s *Service) ExecutedCalls() []ExecutedCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Act{}, s.acts...)
+	return append([]ExecutedCall{}, s.executed...)
 }
 
-type answer struct {
+type response struct {
 	Service string `json:"service"`
 	Number  int    `json:"number"`
 	Path    string `json:"path"`
 	Echo    string `json:"echo"`
 }
 
-func (s *Service) act(c echo.Context) error {
+// execute records the call and answers it, with the faults of this call.
+func (s *Service) execute(c echo.Context) error {
 	body, err := io.ReadAll(c.Request().Body)
 	if err != nil {
 		return c.NoContent(http.StatusBadRequest)
 	}
-	number, faults := s.note(c, body)
+	number, faults := s.recordCall(c, body)
 	time.Sleep(time.Duration(faults.LatencyMillis) * time.Millisecond)
-	if faults.ResetAfterAct > 0 {
-		return reset(c)
+	if faults.ResetAfterExecution > 0 {
+		return resetConnection(c)
 	}
-	return c.JSON(http.StatusOK, answer{Service: s.name, Number: number, Path: c.Request().URL.Path, Echo: string(body)})
+	return c.JSON(http.StatusOK, response{Service: s.name, Number: number, Path: c.Request().URL.Path, Echo: string(body)})
 }
 
-// note counts the call; the faults it returns are those of this call.
-func (s *Service) note(c echo.Context, body []byte) (int, Faults) {
+// recordCall records the call and returns its number, from 1 on, and the faults that apply to it.
+func (s *Service) recordCall(c echo.Context, body []byte) (int, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	request := c.Request()
-	s.acts = append(s.acts, Act{
+	s.executed = append(s.executed, ExecutedCall{
 		Method: request.Method, Path: request.URL.Path, Key: request.Header.Get("Idempotency-Key"),
 		Account: request.Header.Get("X-Account"), Body: string(body),
 	})
 	faults := s.faults
-	if s.faults.ResetAfterAct > 0 {
-		s.faults.ResetAfterAct--
+	if s.faults.ResetAfterExecution > 0 {
+		s.faults.ResetAfterExecution--
 	}
-	return len(s.acts), faults
+	return len(s.executed), faults
 }
 
-// reset breaks the connection so that the caller sees it end without an answer.
-func reset(c echo.Context) error {
+// resetConnection closes the connection with a TCP reset, so that the caller gets no answer.
+func resetConnection(c echo.Context) error {
 	connection, _, err := c.Response().Hijack()
 	if err != nil {
 		return fmt.Errorf("take the connection over: %w", err)
@@ -124,4 +127,6 @@
 	return c.NoContent(http.StatusOK)
 }
 
-func (s *Service) getActs(c echo.Context) error { return c.JSON(http.StatusOK, s.Acts()) }
+func (s *Service) getExecutedCalls(c echo.Context) error {
+	return c.JSON(http.StatusOK, s.ExecutedCalls())
+}
--- a/turmericwallstand/internal/twsite/session_test.go
+++ b/turmericwallstand/internal/twsite/session_test.go
@@ -118,7 +118,7 @@
 	}
 	_, _ = fmt.Fprintf(transcript, "engines: %d attempts started, %d tokens decoded\n", started, decoded)
 	for _, s := range site.Services() {
-		for _, a := range s.Acts() {
+		for _, a := range s.ExecutedCalls() {
 			_, _ = fmt.Fprintf(transcript, "plain service: %s %s key %q account %q body %s\n", a.Method, a.Path, a.Key, a.Account, a.Body)
 		}
 	}
