--- a/turmericwallstand/internal/twplatformstand/platform.go
+++ b/turmericwallstand/internal/twplatformstand/platform.go
@@ -1,4 +1,5 @@
-// Package twplatformstand stands in for the platform's table service, object store and VM list.
+// Package twplatformstand simulates the platform's table service, object store and VM list in memory. Daemons in
+// tests and load runs use it in place of the platform, and tests make it slow, unavailable or late.
 package twplatformstand
 
 import (
@@ -21,38 +22,38 @@
 	"github.com/turmericwall/turmericwall/internal/platform/twmemory"
 )
 
-// Platform keeps everything in memory.
+// Platform simulates the platform. Its methods are safe for concurrent use.
 type Platform struct {
 	table *twmemory.Table
 
 	mu      sync.Mutex
 	objects map[string][]byte
 	vms     []turmericwall.VM
-	// seen is what the lagging list shows.
-	seen   []turmericwall.VM
-	faults Faults
-	counts Counts
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	server *http.Server
+	// listedVMs are the VMs that the list shows; they follow vms after the list's lag.
+	listedVMs []turmericwall.VM
+	faults    Faults
+	counts    Counts
+	writes    *rate.Limiter
+	reads     *rate.Limiter
+	server    *http.Server
 }
 
-// Faults are switched while the platform runs.
+// Faults are the faults that the platform injects. They are switched while it runs.
 type Faults struct {
-	// Outage makes every call fail.
+	// Outage answers every call with status 503.
 	Outage bool `json:"outage"`
 	// LatencyMillis delays every call.
 	LatencyMillis int64 `json:"latencyMillis"`
-	// LoseAnswers drops the answers of so many further transactions after they took effect.
+	// LoseAnswers is the number of further transactions whose answer is lost after they took effect.
 	LoseAnswers int `json:"loseAnswers"`
-	// WritesPerSecond and ReadsPerSecond limit the calls; 0 sets no limit.
+	// WritesPerSecond and ReadsPerSecond limit the calls, beyond which they get status 429; 0 sets no limit.
 	WritesPerSecond float64 `json:"writesPerSecond"`
 	ReadsPerSecond  float64 `json:"readsPerSecond"`
-	// ListLagMillis is how much later the VM list shows a change.
+	// ListLagMillis is the delay after which the VM list shows a change.
 	ListLagMillis int64 `json:"listLagMillis"`
 }
 
-// Counts is what the platform has done.
+// Counts are the platform's counters.
 type Counts struct {
 	Transactions int64 `json:"transactions"`
 	Writes       int64 `json:"writes"`
@@ -64,7 +65,7 @@
 func New() *Platform {
 	p := &Platform{table: twmemory.New(), objects: make(map[string][]byte)}
 	router := echo.New()
-	service := router.Group("", p.disturb)
+	service := router.Group("", p.injectFaults)
 	service.GET("/table/row", p.getRow)
 	service.GET("/table/rows", p.listRows)
 	service.POST("/table/transactions", p.commit)
@@ -83,25 +84,25 @@
 	return twserve.Until(ctx, p.server, listener)
 }
 
-// SetVMs replaces the VM list; what the list shows follows after its lag.
+// SetVMs replaces the VMs; the list shows them after its lag.
 func (p *Platform) SetVMs(vms []turmericwall.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = vms
 	lag := time.Duration(p.faults.ListLagMillis) * time.Millisecond
 	if lag == 0 {
-		p.seen = vms
+		p.listedVMs = vms
 		return
 	}
 	time.AfterFunc(lag, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.seen = vms
+		p.listedVMs = vms
 	})
 }
 
-// disturb applies the faults that concern every call.
-func (p *Platform) disturb(next echo.HandlerFunc) echo.HandlerFunc {
+// injectFaults is the middleware that applies the faults that concern every call.
+func (p *Platform) injectFaults(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		p.mu.Lock()
 		faults, limiter := p.faults, p.reads
@@ -162,14 +163,14 @@
 	if errors.As(err, &conflict) {
 		return c.JSON(http.StatusConflict, conflictBody{Key: conflict.Key()})
 	}
-	if p.countCommit(transaction) {
-		return hangUp(c)
+	if p.recordCommit(transaction) {
+		return closeUnanswered(c)
 	}
 	return c.NoContent(http.StatusOK)
 }
 
-// countCommit counts a transaction that took effect and tells whether its answer is to be lost.
-func (p *Platform) countCommit(transaction turmericwall.Transaction) bool {
+// recordCommit counts a transaction that took effect and reports whether its answer is to be lost.
+func (p *Platform) recordCommit(transaction turmericwall.Transaction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.counts.Transactions++
@@ -181,8 +182,8 @@
 	return true
 }
 
-// hangUp breaks the connection without an answer.
-func hangUp(c echo.Context) error {
+// closeUnanswered closes the connection without an answer.
+func closeUnanswered(c echo.Context) error {
 	connection, _, err := c.Response().Hijack()
 	if err != nil {
 		return err
@@ -228,7 +229,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.counts.Reads++
-	vms := p.seen
+	vms := p.listedVMs
 	if vms == nil {
 		vms = []turmericwall.VM{}
 	}
@@ -244,15 +245,16 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the faults that the platform injects, and restarts the rate limits.
 func (p *Platform) SetFaults(faults Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = faults
-	p.writes, p.reads = limiter(faults.WritesPerSecond), limiter(faults.ReadsPerSecond)
+	p.writes, p.reads = newLimiter(faults.WritesPerSecond), newLimiter(faults.ReadsPerSecond)
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a limiter with a burst of a tenth of a second, or nil for no limit.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond == 0 {
 		return nil
 	}
