--- a/turmericwallstand/internal/twdemo/demo.go
+++ b/turmericwallstand/internal/twdemo/demo.go
@@ -72,7 +72,7 @@
 }
 
 func (d *Demo) show(ctx context.Context, site *twsite.Site, example twexample.Example) error {
-	s := &session{demo: d, example: example, callers: site.Callers()}
+	s := &session{demo: d, example: example, callers: site.CallerAddresses()}
 	for _, step := range []func(context.Context) error{s.urgent, s.once, s.deferred} {
 		if err := step(ctx); err != nil {
 			return err
@@ -88,8 +88,8 @@
 func (d *Demo) invite(site *twsite.Site, example twexample.Example) {
 	d.say("\ntry more, and end with Ctrl-C:")
 	d.say("  curl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":%q,\"prompt\":\"Which tables are free?\",\"max_tokens\":40,\"stream\":true}'",
-		site.Callers()[0], example.Key(), example.Model())
-	d.say("  curl http://%s/status", site.Operations()[0])
+		site.CallerAddresses()[0], example.Key(), example.Model())
+	d.say("  curl http://%s/status", site.OperatorAddresses()[0])
 }
 
 // session makes the calls.
--- a/turmericwallstand/internal/twmeasure/control.go
+++ b/turmericwallstand/internal/twmeasure/control.go
@@ -102,7 +102,7 @@
 		before := placed(ctx, site)
 		prompt := strings.Repeat("a", tokens*bytesPerToken)
 		for i := range requests {
-			if _, err := stream(ctx, site.Callers()[i%3], twexample.Arriola(), prompt, 1); err != nil {
+			if _, err := stream(ctx, site.CallerAddresses()[i%3], twexample.Arriola(), prompt, 1); err != nil {
 				return err
 			}
 		}
@@ -129,7 +129,7 @@
 
 func placed(ctx context.Context, site *twsite.Site) float64 {
 	total := 0.0
-	for _, address := range site.Operations() {
+	for _, address := range site.OperatorAddresses() {
 		var c placementCounters
 		_ = twcaller.New(http.DefaultClient, "").Read(ctx, "http://"+address+"/metrics", &c)
 		total += c.PlaceIn.Count + c.PlaceOut.Count + c.FinishIn.Count + c.FinishOut.Count
@@ -143,7 +143,7 @@
 	ends := make(chan struct{})
 	for i := range streams {
 		go func() {
-			_, _ = stream(inner, site.Callers()[i%len(site.Callers())], twexample.Arriola(), "wait", longAnswer)
+			_, _ = stream(inner, site.CallerAddresses()[i%len(site.CallerAddresses())], twexample.Arriola(), "wait", longAnswer)
 			ends <- struct{}{}
 		}()
 	}
@@ -216,7 +216,7 @@
 // countersOf adds up the counters of all daemons.
 func countersOf(ctx context.Context, site *twsite.Site) (watched, error) {
 	var w watched
-	for _, address := range site.Operations() {
+	for _, address := range site.OperatorAddresses() {
 		c, err := metricsOf(ctx, address)
 		if err != nil {
 			return w, err
--- a/turmericwallstand/internal/twmeasure/parts.go
+++ b/turmericwallstand/internal/twmeasure/parts.go
@@ -70,7 +70,7 @@
 	if _, err := publisher.Apply(ctx, 1, twpublisher.Entry{Source: source, At: start, Operator: "measure"}); err != nil {
 		return 0, err
 	}
-	for _, address := range site.Operations() {
+	for _, address := range site.OperatorAddresses() {
 		for revisionOf(ctx, address) < 2 {
 			if err := sleep(ctx, 5*time.Millisecond); err != nil {
 				return 0, err
@@ -107,7 +107,7 @@
 			return err
 		}
 		rows, transactions := 0.0, 0.0
-		for _, address := range site.Operations() {
+		for _, address := range site.OperatorAddresses() {
 			c, err := metricsOf(ctx, address)
 			if err != nil {
 				return err
@@ -139,7 +139,7 @@
 		go func() {
 			began := time.Now()
 			header := http.Header{"Idempotency-Key": {fmt.Sprintf("m-%d", i)}}
-			address := site.Callers()[i%len(site.Callers())]
+			address := site.CallerAddresses()[i%len(site.CallerAddresses())]
 			response, err := caller.Call(ctx, http.MethodPost, "http://"+address+"/services/"+example.Plain()+"/bookings", header, i)
 			if err == nil {
 				err = response.Body.Close()
@@ -178,7 +178,7 @@
 			// The account's limit is 2,000 calls a second.
 			time.Sleep(time.Millisecond)
 			go func() {
-				_, _ = complete(inner, site.Callers()[i%4], example, "dossier", completionOf(example, "wait", 20_000))
+				_, _ = complete(inner, site.CallerAddresses()[i%4], example, "dossier", completionOf(example, "wait", 20_000))
 				ends <- struct{}{}
 			}()
 		}
@@ -206,7 +206,7 @@
 	deadline := time.Now().Add(callTimeout)
 	for time.Now().Before(deadline) {
 		all := 0
-		for _, address := range site.Operations() {
+		for _, address := range site.OperatorAddresses() {
 			var l load
 			_ = twcaller.New(http.DefaultClient, "").Read(ctx, "http://"+address+"/status", &l)
 			all += l.InFlight
@@ -253,7 +253,7 @@
 	used := processorTime()
 	for i := range requests {
 		start := time.Now()
-		if _, err := stream(ctx, site.Callers()[i%2], example, "a small question", tokens); err != nil {
+		if _, err := stream(ctx, site.CallerAddresses()[i%2], example, "a small question", tokens); err != nil {
 			return err
 		}
 		all = append(all, time.Since(start))
--- a/turmericwallstand/internal/twsite/bench_test.go
+++ b/turmericwallstand/internal/twsite/bench_test.go
@@ -12,15 +12,15 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twsite"
 )
 
-// BenchmarkRequest is one streamed request through a daemon, with caller and engines in the same process: an
-// upper bound of what the daemon needs.
+// BenchmarkRequest streams requests through one daemon. The caller and the engines share the process, so the result
+// is an upper bound of the daemon's own cost.
 func BenchmarkRequest(b *testing.B) {
 	for _, tokens := range []int{4, 64} {
-		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) { request(b, tokens) })
+		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) { benchmarkRequest(b, tokens) })
 	}
 }
 
-func request(b *testing.B, tokens int) {
+func benchmarkRequest(b *testing.B, tokens int) {
 	example := twexample.Arriola()
 	site, err := twsite.New(b.Context(), twsite.Config{
 		Example: example, Daemons: 1, Prefill: 2, Decode: 2, Policy: "leader", Log: io.Discard,
@@ -37,7 +37,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			response, err := caller.Call(b.Context(), http.MethodPost, "http://"+site.Callers()[0]+"/v1/completions", nil,
+			response, err := caller.Call(b.Context(), http.MethodPost, "http://"+site.CallerAddresses()[0]+"/v1/completions", nil,
 				twcaller.Completion{Model: example.Model(), Prompt: "which tables are free", MaxTokens: tokens, Stream: true})
 			if err != nil {
 				b.Error(err)
--- a/turmericwallstand/internal/twsite/session_test.go
+++ b/turmericwallstand/internal/twsite/session_test.go
@@ -21,19 +21,19 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twsite"
 )
 
-// step is one call of a session; lines that start with // tell what it shows.
+// step is one call of a session. In the file, lines that start with // are comments.
 type step struct {
 	Daemon int               `json:"daemon"`
 	Method string            `json:"method"`
 	Path   string            `json:"path"`
 	Header map[string]string `json:"header"`
 	Body   json.RawMessage   `json:"body"`
-	// Until repeats the call until it has this status.
+	// Until is the status until which the call is repeated; 0 calls once.
 	Until int `json:"until"`
 }
 
-// Each folder of testdata is a session with a whole site: its calls, and in the golden file what caller,
-// engines and plain service saw.
+// Each folder of testdata holds the calls of a session with a complete site, and a golden file with the answers and
+// with what engines and plain services executed. The test fails if any of these changes.
 func TestSessions(t *testing.T) {
 	for _, example := range []twexample.Example{twexample.Arriola(), twexample.Sonnenmatt()} {
 		t.Run(example.Name(), func(t *testing.T) {
@@ -45,16 +45,16 @@
 			defer func() { NewWithT(t).Expect(site.Close()).To(Succeed()) }()
 			folder := filepath.Join("testdata", example.Name())
 			var transcript bytes.Buffer
-			for _, s := range steps(t, filepath.Join(folder, "calls.jsonl")) {
-				play(t, &transcript, site, example, s)
+			for _, s := range readSteps(t, filepath.Join(folder, "calls.jsonl")) {
+				replayStep(t, &transcript, site, example, s)
 			}
-			sides(&transcript, site)
+			writeSideEffects(&transcript, site)
 			goldie.New(t, goldie.WithFixtureDir(folder), goldie.WithNameSuffix(".golden")).Assert(t, "transcript", transcript.Bytes())
 		})
 	}
 }
 
-func steps(t *testing.T, path string) []step {
+func readSteps(t *testing.T, path string) []step {
 	t.Helper()
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -74,12 +74,12 @@
 	return all
 }
 
-func play(t *testing.T, transcript io.Writer, site *twsite.Site, example twexample.Example, s step) {
+func replayStep(t *testing.T, transcript io.Writer, site *twsite.Site, example twexample.Example, s step) {
 	g := NewWithT(t)
 	var response *http.Response
 	var body []byte
 	g.Eventually(func() bool {
-		request, err := http.NewRequest(s.Method, "http://"+site.Callers()[s.Daemon]+s.Path, bytes.NewReader(s.Body))
+		request, err := http.NewRequest(s.Method, "http://"+site.CallerAddresses()[s.Daemon]+s.Path, bytes.NewReader(s.Body))
 		g.Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Authorization", "Bearer "+example.Key())
 		request.Header.Set("X-Request-Id", "session")
@@ -100,17 +100,18 @@
 			_, _ = fmt.Fprintf(transcript, " %s=%s", name, value)
 		}
 	}
-	_, _ = fmt.Fprintf(transcript, "\n%s\n\n", steady(body))
+	_, _ = fmt.Fprintf(transcript, "\n%s\n\n", maskTimes(body))
 }
 
-var passing = regexp.MustCompile(`"(created|retryAfterMillis)":\d+`)
+var timeFields = regexp.MustCompile(`"(created|retryAfterMillis)":\d+`)
 
-// steady leaves out what differs from run to run: times.
-func steady(body []byte) []byte {
-	return bytes.TrimSpace(passing.ReplaceAll(body, []byte(`"$1":0`)))
+// maskTimes sets the fields that differ from run to run, which are times, to 0.
+func maskTimes(body []byte) []byte {
+	return bytes.TrimSpace(timeFields.ReplaceAll(body, []byte(`"$1":0`)))
 }
 
-func sides(transcript io.Writer, site *twsite.Site) {
+// writeSideEffects writes what the engines and the plain services executed.
+func writeSideEffects(transcript io.Writer, site *twsite.Site) {
 	started, decoded := int64(0), int64(0)
 	for _, e := range site.Engines() {
 		started += e.Stats().Started
--- a/turmericwallstand/internal/twsite/site.go
+++ b/turmericwallstand/internal/twsite/site.go
@@ -1,4 +1,6 @@
-// Package twsite runs a whole site in one process, over real loopback sockets.
+// Package twsite runs a complete site in one process, over loopback sockets: a simulated platform, simulated engines
+// and plain services, and real daemons. The demonstration, the load runs, the measurements and tests start their
+// sites with it.
 package twsite
 
 import (
@@ -27,47 +29,50 @@
 )
 
 const (
-	anyPort     = "127.0.0.1:0"
-	readyWithin = 15 * time.Second
-	readyCheck  = 50 * time.Millisecond
-	environment = "production"
+	anyPort           = "127.0.0.1:0"
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	environment       = "production"
 )
 
-// Site is a platform, engines, plain services and daemons.
+// Site is a running platform with its engines, plain services and daemons.
 type Site struct {
-	config    Config
-	tasks     *twtask.Group
-	stop      context.CancelFunc
-	address   string
-	platform  *twplatformstand.Platform
-	engines   []*twenginestand.Engine
-	services  []*twservicestand.Service
-	daemons   []*twdaemon.Daemon
-	vms       []turmericwall.VM
-	endEngine []context.CancelFunc
-	endDaemon []context.CancelFunc
-}
-
-// Config says what the site consists of.
+	config      Config
+	tasks       *twtask.Group
+	stop        context.CancelFunc
+	platformURL string
+	platform    *twplatformstand.Platform
+	engines     []*twenginestand.Engine
+	services    []*twservicestand.Service
+	daemons     []*twdaemon.Daemon
+	vms         []turmericwall.VM
+	stopEngine  []context.CancelFunc
+	stopDaemon  []context.CancelFunc
+}
+
+// Config sets the number of engines, plain services and daemons of a site, and how they are configured.
 type Config struct {
-	Example  twexample.Example
-	Daemons  int
+	// Example is the deployment whose document, names and zones the site uses.
+	Example twexample.Example
+	Daemons int
+	// Prefill and Decode are the numbers of engines of each role.
 	Prefill  int
 	Decode   int
 	Services int
 	// Policy is the placement policy of all daemons.
 	Policy string
-	// Engine is the template of the engines.
+	// Engine is the configuration of all engines; their names, roles and models are set by the site.
 	Engine twenginestand.Config
 	// Log receives the daemons' logs.
 	Log io.Writer
 }
 
-// New starts a site and waits until its daemons are ready.
+// New starts a site and waits until its daemons are ready. If one does not become ready within 15 s, it closes the site
+// and returns an error.
 func New(ctx context.Context, config Config) (*Site, error) {
 	ctx, stop := context.WithCancel(ctx)
 	s := &Site{config: config, tasks: twtask.New(ctx), stop: stop, platform: twplatformstand.New()}
-	steps := []func(context.Context) error{s.startPlatform, s.startEngines, s.startServices, s.apply, s.startDaemons, s.awaitReady}
+	steps := []func(context.Context) error{s.startPlatform, s.startEngines, s.startServices, s.applyDocument, s.startDaemons, s.awaitReady}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			_ = s.Close()
@@ -77,14 +82,14 @@
 	return s, nil
 }
 
-// Close stops everything.
+// Close stops all parts of the site and returns the first error of any of them.
 func (s *Site) Close() error {
 	s.stop()
 	return s.tasks.Wait()
 }
 
-// Callers returns the daemons' callers' addresses.
-func (s *Site) Callers() []string {
+// CallerAddresses returns the addresses, as IP:port, at which the daemons serve callers.
+func (s *Site) CallerAddresses() []string {
 	addresses := make([]string, 0, len(s.daemons))
 	for _, d := range s.daemons {
 		addresses = append(addresses, d.CallersAddress())
@@ -92,8 +97,8 @@
 	return addresses
 }
 
-// Operations returns the daemons' operators' addresses.
-func (s *Site) Operations() []string {
+// OperatorAddresses returns the addresses, as IP:port, at which the daemons serve operators.
+func (s *Site) OperatorAddresses() []string {
 	addresses := make([]string, 0, len(s.daemons))
 	for _, d := range s.daemons {
 		addresses = append(addresses, d.OperationsAddress())
@@ -101,26 +106,26 @@
 	return addresses
 }
 
-// Platform is the address of the platform's service.
-func (s *Site) Platform() string { return s.address }
+// PlatformURL returns the base URL of the platform's service.
+func (s *Site) PlatformURL() string { return s.platformURL }
 
-// Engines returns the engines, prefill first.
+// Engines returns the engines, those of the prefill role first.
 func (s *Site) Engines() []*twenginestand.Engine { return s.engines }
 
 // Services returns the plain services.
 func (s *Site) Services() []*twservicestand.Service { return s.services }
 
-// Table is a client of the site's table.
+// Table returns a client of the platform's table.
 func (s *Site) Table() turmericwall.Table {
-	return twtable.New(twhttp.New(twhttp.Config{Address: s.address}))
+	return twtable.New(twhttp.New(twhttp.Config{Address: s.platformURL}))
 }
 
 func (s *Site) startPlatform(context.Context) error {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return fmt.Errorf("open the platform's listener: %w", err)
+		return fmt.Errorf("open the platform's listener on a free loopback port: %w", err)
 	}
-	s.address = "http://" + listener.Addr().String()
+	s.platformURL = "http://" + listener.Addr().String()
 	s.tasks.Start("platform", func(ctx context.Context) error { return s.platform.Serve(ctx, listener) })
 	return nil
 }
@@ -144,13 +149,13 @@
 func (s *Site) startEngine(config twenginestand.Config, zone string) error {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return fmt.Errorf("open an engine's listener: %w", err)
+		return fmt.Errorf("open an engine's listener on a free loopback port: %w", err)
 	}
 	engine := twenginestand.New(config)
 	s.engines = append(s.engines, engine)
-	s.list(config.Name, s.config.Example.Engines(), zone, listener)
+	s.listVM(config.Name, s.config.Example.Engines(), zone, listener)
 	inner, cancel := context.WithCancel(s.tasks.Context())
-	s.endEngine = append(s.endEngine, cancel)
+	s.stopEngine = append(s.stopEngine, cancel)
 	s.tasks.Start(config.Name, func(context.Context) error { return engine.Serve(inner, listener) })
 	return nil
 }
@@ -159,24 +164,25 @@
 	for i := range s.config.Services {
 		listener, err := net.Listen("tcp", anyPort)
 		if err != nil {
-			return fmt.Errorf("open a service's listener: %w", err)
+			return fmt.Errorf("open a service's listener on a free loopback port: %w", err)
 		}
 		name := fmt.Sprintf("%s-%d", s.config.Example.Plain(), i)
 		service := twservicestand.New(name)
 		s.services = append(s.services, service)
-		s.list(name, s.config.Example.Plain(), s.config.Example.Zone(i), listener)
+		s.listVM(name, s.config.Example.Plain(), s.config.Example.Zone(i), listener)
 		s.tasks.Start(name, func(ctx context.Context) error { return service.Serve(ctx, listener) })
 	}
 	return nil
 }
 
-func (s *Site) apply(ctx context.Context) error {
+func (s *Site) applyDocument(ctx context.Context) error {
 	publisher := twpublisher.New(twpublisher.Config{Table: s.Table(), Environment: environment})
 	_, err := publisher.Apply(ctx, 0, twpublisher.Entry{Source: s.config.Example.Document(), At: time.Now().UTC(), Operator: "site"})
 	return err
 }
 
-// startDaemons lists the upstreams first, as a platform does on which daemons come and go.
+// startDaemons publishes the upstreams before the daemons start, and the daemons afterwards, as on a platform where
+// daemons are replaced while upstreams run.
 func (s *Site) startDaemons(ctx context.Context) error {
 	s.platform.SetVMs(slices.Clone(s.vms))
 	for i := range s.config.Daemons {
@@ -193,7 +199,7 @@
 	daemon, err := twdaemon.New(twdaemon.Config{
 		Settings: twsettings.Settings{
 			Name: name, Environment: environment, Region: s.config.Example.Region(), Zone: zone,
-			Callers: anyPort, Peers: anyPort, Operations: anyPort, Platform: s.address, PlainText: true,
+			Callers: anyPort, Peers: anyPort, Operations: anyPort, Platform: s.platformURL, PlainText: true,
 			DrainMillis: 10_000, NoticeMillis: &notice, MaxBodyBytes: 4 << 20, LogLevel: "info", Policy: s.config.Policy,
 		},
 		Output: s.config.Log, Clock: clockwork.NewRealClock(),
@@ -207,34 +213,36 @@
 		Address: daemon.PeersAddress(), State: turmericwall.VMLive,
 	})
 	inner, cancel := context.WithCancel(ctx)
-	s.endDaemon = append(s.endDaemon, cancel)
+	s.stopDaemon = append(s.stopDaemon, cancel)
 	s.tasks.Start(name, func(context.Context) error { return daemon.Run(inner) })
 	return nil
 }
 
-func (s *Site) list(name, service, zone string, listener net.Listener) {
+// listVM adds a live VM to the list that the platform will show.
+func (s *Site) listVM(name, service, zone string, listener net.Listener) {
 	s.vms = append(s.vms, turmericwall.VM{
 		Name: name, Service: service, Region: s.config.Example.Region(), Zone: zone,
 		Address: listener.Addr().String(), State: turmericwall.VMLive,
 	})
 }
 
-// awaitReady waits for a condition, never for a time: each daemon says that it is ready.
+// awaitReady polls each daemon until it reports that it is ready, and returns an error after readyTimeout.
 func (s *Site) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for _, address := range s.Operations() {
-		for !ready(ctx, address) {
+	for _, address := range s.OperatorAddresses() {
+		for !isReady(ctx, address) {
 			if ctx.Err() != nil {
-				return fmt.Errorf("daemon at %s is not ready within %s; read its log", address, readyWithin)
+				return fmt.Errorf("daemon at %s is not ready within %s; read its log", address, readyTimeout)
 			}
-			time.Sleep(readyCheck)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-func ready(ctx context.Context, address string) bool {
+// isReady reports whether the daemon's readiness probe succeeds.
+func isReady(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", http.NoBody)
 	if err != nil {
 		return false
