--- a/turmericwallstand/internal/twdemo/demo.go
+++ b/turmericwallstand/internal/twdemo/demo.go
@@ -1,4 +1,5 @@
-// Package twdemo shows a whole site with one session of each kind of work.
+// Package twdemo runs a complete site in one process and calls it as a caller would, with one request of each kind:
+// urgent, non-idempotent and deferrable. It prints what the caller receives.
 package twdemo
 
 import (
@@ -17,52 +18,53 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twsite"
 )
 
-// Demo runs a site and calls it as a caller would.
+// Demo runs a site and makes the calls of the demonstration.
 type Demo struct {
 	config Config
 	client *http.Client
 }
 
-// Config chooses what is shown.
+// Config selects the deployment and where the output goes.
 type Config struct {
-	// Example is the deployment's name.
+	// Example is the deployment's name, arriola or sonnenmatt.
 	Example string
-	// Once ends the demonstration by itself.
+	// Once ends the demonstration after its calls, instead of keeping the site running for more.
 	Once   bool
 	Output io.Writer
 }
 
 const (
-	daemons      = 3
-	prefill      = 3
-	decode       = 5
-	services     = 3
-	answerWithin = 30 * time.Second
-	fetchEvery   = 200 * time.Millisecond
+	daemons        = 3
+	prefillEngines = 3
+	decodeEngines  = 5
+	plainServices  = 3
+	answerTimeout  = 30 * time.Second
+	fetchInterval  = 200 * time.Millisecond
 )
 
 // New returns a demonstration.
 func New(config Config) *Demo {
-	return &Demo{config: config, client: &http.Client{Timeout: answerWithin}}
+	return &Demo{config: config, client: &http.Client{Timeout: answerTimeout}}
 }
 
-// Run shows one request of each kind, and then waits for more calls unless it is to end.
+// Run starts the site, makes one request of each kind, and then keeps the site running until ctx ends, unless Once is
+// set. It returns an error if an answer is not as promised.
 func (d *Demo) Run(ctx context.Context) error {
 	example, ok := twexample.Named(d.config.Example)
 	if !ok {
 		return fmt.Errorf("no example %q; use arriola or sonnenmatt", d.config.Example)
 	}
 	site, err := twsite.New(ctx, twsite.Config{
-		Example: example, Daemons: daemons, Prefill: prefill, Decode: decode, Services: services,
+		Example: example, Daemons: daemons, Prefill: prefillEngines, Decode: decodeEngines, Services: plainServices,
 		Policy: "leader", Log: io.Discard,
 	})
 	if err != nil {
 		return err
 	}
-	d.say("a platform, %d prefill and %d decode engines, %d plain services and %d daemons run in this process", prefill, decode, services, daemons)
-	err = d.show(ctx, site, example)
+	d.printf("a platform, %d prefill and %d decode engines, %d plain services and %d daemons run in this process", prefillEngines, decodeEngines, plainServices, daemons)
+	err = d.showSession(ctx, site, example)
 	if err == nil && !d.config.Once {
-		d.invite(site, example)
+		d.printCommands(site, example)
 		<-ctx.Done()
 	}
 	if closeErr := site.Close(); err == nil {
@@ -71,9 +73,9 @@
 	return err
 }
 
-func (d *Demo) show(ctx context.Context, site *twsite.Site, example twexample.Example) error {
+func (d *Demo) showSession(ctx context.Context, site *twsite.Site, example twexample.Example) error {
 	s := &session{demo: d, example: example, callers: site.CallerAddresses()}
-	for _, step := range []func(context.Context) error{s.urgent, s.once, s.deferred} {
+	for _, step := range []func(context.Context) error{s.streamUrgent, s.repeatCall, s.submitDeferrable} {
 		if err := step(ctx); err != nil {
 			return err
 		}
@@ -81,18 +83,19 @@
 	return nil
 }
 
-func (d *Demo) say(format string, values ...any) {
+func (d *Demo) printf(format string, values ...any) {
 	_, _ = fmt.Fprintf(d.config.Output, format+"\n", values...)
 }
 
-func (d *Demo) invite(site *twsite.Site, example twexample.Example) {
-	d.say("\ntry more, and end with Ctrl-C:")
-	d.say("  curl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":%q,\"prompt\":\"Which tables are free?\",\"max_tokens\":40,\"stream\":true}'",
+// printCommands prints commands with which the user can call the running site.
+func (d *Demo) printCommands(site *twsite.Site, example twexample.Example) {
+	d.printf("\ntry more calls, and stop the site with Ctrl-C:")
+	d.printf("  curl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":%q,\"prompt\":\"Which tables are free?\",\"max_tokens\":40,\"stream\":true}'",
 		site.CallerAddresses()[0], example.Key(), example.Model())
-	d.say("  curl http://%s/status", site.OperatorAddresses()[0])
+	d.printf("  curl http://%s/status", site.OperatorAddresses()[0])
 }
 
-// session makes the calls.
+// session makes the calls of the demonstration to the daemons in turn.
 type session struct {
 	demo    *Demo
 	example twexample.Example
@@ -101,9 +104,9 @@
 
 const urgentTokens = 24
 
-// urgent streams an answer while a person waits.
-func (s *session) urgent(ctx context.Context) error {
-	s.demo.say("\n1. urgent: a streamed answer through prefill, transfer and decode")
+// streamUrgent streams an answer for which a person waits.
+func (s *session) streamUrgent(ctx context.Context) error {
+	s.demo.printf("\n1. urgent: a streamed answer through prefill, transfer and decode")
 	start := time.Now()
 	response, err := s.call(ctx, 0, http.MethodPost, "/v1/completions", nil, twcaller.Completion{
 		Model: s.example.Model(), Prompt: "Which tables are free this afternoon?", MaxTokens: urgentTokens, Stream: true,
@@ -118,22 +121,23 @@
 		done = done || scanner.Text() == "data: [DONE]"
 		if strings.HasPrefix(scanner.Text(), "data: {") {
 			if tokens == 0 {
-				s.demo.say("   first token after %d ms", time.Since(start).Milliseconds())
+				s.demo.printf("   first token after %d ms", time.Since(start).Milliseconds())
 			}
 			tokens++
 		}
 	}
 	if !done {
-		return fmt.Errorf("the stream has no closing mark after %d events", tokens)
+		return fmt.Errorf("the stream was cut short after %d events, without [DONE]", tokens)
 	}
-	s.demo.say("   whole answer of %d tokens after %d ms", urgentTokens, time.Since(start).Milliseconds())
+	s.demo.printf("   complete answer of %d tokens after %d ms", urgentTokens, time.Since(start).Milliseconds())
 	return scanner.Err()
 }
 
-// once sends a call that may not be repeated, twice.
-func (s *session) once(ctx context.Context) error {
+// repeatCall sends a non-idempotent call twice with the same key, and checks that the second answer is the first one
+// replayed.
+func (s *session) repeatCall(ctx context.Context) error {
 	path := map[string]string{"arriola": "/bookings", "sonnenmatt": "/medication"}[s.example.Name()]
-	s.demo.say("\n2. at most once: POST %s twice with one key, at two daemons", path)
+	s.demo.printf("\n2. at most once: POST %s twice with one key, at two daemons", path)
 	header := http.Header{"Idempotency-Key": {"demo-1"}}
 	var bodies [][]byte
 	for i := range 2 {
@@ -146,22 +150,23 @@
 		if err != nil {
 			return err
 		}
-		s.demo.say("   daemon %d: status %d, replayed %q: %s", i+1, response.StatusCode, response.Header.Get("Idempotent-Replayed"), bytes.TrimSpace(body))
+		s.demo.printf("   daemon %d: status %d, replayed %q: %s", i+1, response.StatusCode, response.Header.Get("Idempotent-Replayed"), bytes.TrimSpace(body))
 		bodies = append(bodies, body)
 	}
 	if !bytes.Equal(bodies[0], bodies[1]) {
-		return fmt.Errorf("the two answers differ")
+		return fmt.Errorf("the two answers with key demo-1 differ")
 	}
 	return nil
 }
 
-type ticket struct {
+// acceptance is the body of the answer to an accepted deferrable request.
+type acceptance struct {
 	ID string `json:"id"`
 }
 
-// deferred hands in work that may wait, and fetches it twice.
-func (s *session) deferred(ctx context.Context) error {
-	s.demo.say("\n3. deferrable: accepted with 202, answered later")
+// submitDeferrable submits a deferrable request, and fetches its answer from two other daemons.
+func (s *session) submitDeferrable(ctx context.Context) error {
+	s.demo.printf("\n3. deferrable: accepted with 202, answered later")
 	work := map[string]string{"arriola": "dossier", "sonnenmatt": "archive"}[s.example.Name()]
 	header := http.Header{"Prefer": {"respond-async"}, "X-Work": {work}, "Idempotency-Key": {"demo-2"}}
 	response, err := s.call(ctx, 0, http.MethodPost, "/v1/completions", header, twcaller.Completion{
@@ -170,30 +175,31 @@
 	if err != nil {
 		return err
 	}
-	var accepted ticket
+	var accepted acceptance
 	err = json.NewDecoder(response.Body).Decode(&accepted)
 	_ = response.Body.Close()
 	if err != nil || response.StatusCode != http.StatusAccepted {
-		return fmt.Errorf("the request was not accepted: status %d", response.StatusCode)
+		return fmt.Errorf("the deferrable request was not accepted: status %d, expected 202", response.StatusCode)
 	}
-	s.demo.say("   accepted as %s", response.Header.Get("Location"))
-	first, err := s.await(ctx, 1, accepted.ID)
+	s.demo.printf("   accepted as %s", response.Header.Get("Location"))
+	first, err := s.awaitAnswer(ctx, 1, accepted.ID)
 	if err != nil {
 		return err
 	}
-	second, err := s.await(ctx, 2, accepted.ID)
+	second, err := s.awaitAnswer(ctx, 2, accepted.ID)
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(first, second) {
-		return fmt.Errorf("two fetches differ")
+		return fmt.Errorf("the answers fetched from two daemons differ")
 	}
-	s.demo.say("   fetched twice, at two daemons, with the same %d bytes", len(first))
+	s.demo.printf("   fetched twice, at two daemons, with the same %d bytes", len(first))
 	return nil
 }
 
-func (s *session) await(ctx context.Context, daemon int, id string) ([]byte, error) {
-	deadline := time.Now().Add(answerWithin)
+// awaitAnswer polls the daemon for the answer of a deferrable request until answerTimeout.
+func (s *session) awaitAnswer(ctx context.Context, daemon int, id string) ([]byte, error) {
+	deadline := time.Now().Add(answerTimeout)
 	for time.Now().Before(deadline) {
 		response, err := s.call(ctx, daemon, http.MethodGet, "/v1/requests/"+id, nil, nil)
 		if err != nil {
@@ -204,11 +210,12 @@
 		if err != nil || response.StatusCode == http.StatusOK {
 			return body, err
 		}
-		time.Sleep(fetchEvery)
+		time.Sleep(fetchInterval)
 	}
-	return nil, fmt.Errorf("no answer within %s", answerWithin)
+	return nil, fmt.Errorf("no answer within %s", answerTimeout)
 }
 
+// call sends a call to one daemon; a status of 400 or more is an error. The caller closes the body.
 func (s *session) call(ctx context.Context, daemon int, method, path string, header http.Header, body any) (*http.Response, error) {
 	address := "http://" + s.callers[daemon%len(s.callers)] + path
 	response, err := twcaller.New(s.demo.client, s.example.Key()).Call(ctx, method, address, header, body)
