--- a/turmericwallstand/e2e/site_test.go
+++ b/turmericwallstand/e2e/site_test.go
@@ -66,10 +66,10 @@
 		st.decode = append(st.decode, st.engine("decode", i))
 	}
 	for i := range s.services {
-		name := fmt.Sprintf("%s-%d", example.Plain(), i)
+		name := fmt.Sprintf("%s-%d", example.PlainService(), i)
 		p := st.stand("service", "--name", name)
 		st.services = append(st.services, p)
-		st.list(name, example.Plain(), i, p.address)
+		st.list(name, example.PlainService(), i, p.address)
 	}
 	st.apply(0, example.Document())
 	st.publishVMs()
@@ -96,7 +96,7 @@
 	GinkgoHelper()
 	name := fmt.Sprintf("%s-%d", role, i)
 	p := s.stand("engine", "--name", name, "--role", role, "--models", s.example.Model())
-	s.list(name, s.example.Engines(), i, p.address)
+	s.list(name, s.example.EngineService(), i, p.address)
 	return p
 }
 
--- a/turmericwallstand/internal/twcompare/run.go
+++ b/turmericwallstand/internal/twcompare/run.go
@@ -56,7 +56,7 @@
 }
 
 func (c *Compare) run(ctx context.Context, policy string, level float64, seed uint64) (Run, error) {
-	example, ok := twexample.Named(c.config.Deployment)
+	example, ok := twexample.ByName(c.config.Deployment)
 	if !ok {
 		return Run{}, fmt.Errorf("no deployment %q; use arriola or sonnenmatt", c.config.Deployment)
 	}
--- a/turmericwallstand/internal/twdemo/demo.go
+++ b/turmericwallstand/internal/twdemo/demo.go
@@ -50,7 +50,7 @@
 // Run starts the site, makes one request of each kind, and then keeps the site running until ctx ends, unless Once is
 // set. It returns an error if an answer is not as promised.
 func (d *Demo) Run(ctx context.Context) error {
-	example, ok := twexample.Named(d.config.Example)
+	example, ok := twexample.ByName(d.config.Example)
 	if !ok {
 		return fmt.Errorf("no example %q; use arriola or sonnenmatt", d.config.Example)
 	}
@@ -141,7 +141,7 @@
 	header := http.Header{"Idempotency-Key": {"demo-1"}}
 	var bodies [][]byte
 	for i := range 2 {
-		response, err := s.call(ctx, i, http.MethodPost, "/services/"+s.example.Plain()+path, header, map[string]string{"table": "12"})
+		response, err := s.call(ctx, i, http.MethodPost, "/services/"+s.example.PlainService()+path, header, map[string]string{"table": "12"})
 		if err != nil {
 			return err
 		}
--- a/turmericwallstand/internal/twexample/example.go
+++ b/turmericwallstand/internal/twexample/example.go
@@ -1,4 +1,5 @@
-// Package twexample holds the example deployments.
+// Package twexample holds the example deployments, with their documents, names and keys. The demonstration, load runs
+// and tests run sites of them.
 package twexample
 
 import _ "embed"
@@ -9,38 +10,38 @@
 //go:embed sonnenmatt.jsonc
 var sonnenmatt []byte
 
-// Example is one deployment.
+// Example is one example deployment.
 type Example struct {
-	name     string
-	document []byte
-	region   string
-	zones    []string
-	engines  string
-	model    string
-	plain    string
-	key      string
+	name          string
+	document      []byte
+	region        string
+	zones         []string
+	engineService string
+	model         string
+	plainService  string
+	key           string
 }
 
-// Arriola arranges buyer meetings at drinks fairs.
+// Arriola returns the deployment of a company that arranges buyer meetings at drinks fairs.
 func Arriola() Example {
 	return Example{
 		name: "arriola", document: arriola, region: "guate-central",
-		zones: []string{"zona-norte", "zona-sur", "zona-oficina"}, engines: "brief-writers", model: "arriola-brief",
-		plain: "agenda-desk", key: "arriola-demo-key",
+		zones: []string{"zona-norte", "zona-sur", "zona-oficina"}, engineService: "brief-writers", model: "arriola-brief",
+		plainService: "agenda-desk", key: "arriola-demo-key",
 	}
 }
 
-// Sonnenmatt runs a parents' daily diary.
+// Sonnenmatt returns the deployment of a service that writes a daily diary for parents.
 func Sonnenmatt() Example {
 	return Example{
 		name: "sonnenmatt", document: sonnenmatt, region: "ch-mittelland",
-		zones: []string{"bern-a", "bern-b", "thun-c"}, engines: "summary-llm", model: "diary-summary",
-		plain: "diary-app", key: "sonnenmatt-demo-key",
+		zones: []string{"bern-a", "bern-b", "thun-c"}, engineService: "summary-llm", model: "diary-summary",
+		plainService: "diary-app", key: "sonnenmatt-demo-key",
 	}
 }
 
-// Named returns the example with the name.
-func Named(name string) (Example, bool) {
+// ByName returns the example with the name, arriola or sonnenmatt, and whether there is one.
+func ByName(name string) (Example, bool) {
 	for _, e := range []Example{Arriola(), Sonnenmatt()} {
 		if e.name == name {
 			return e, true
@@ -49,26 +50,26 @@
 	return Example{}, false
 }
 
-// Name is the example's name.
+// Name returns the example's name.
 func (e Example) Name() string { return e.name }
 
-// Document is the source of its document.
+// Document returns the source of the deployment's document, JSON with comments.
 func (e Example) Document() []byte { return e.document }
 
-// Region is where it runs.
+// Region returns the region of all its VMs.
 func (e Example) Region() string { return e.region }
 
-// Zone returns one of its zones, in turn.
+// Zone returns the zone of the VM with the index; the zones are used in turn.
 func (e Example) Zone(i int) string { return e.zones[i%len(e.zones)] }
 
-// Engines is its service of model engines.
-func (e Example) Engines() string { return e.engines }
+// EngineService returns the name of its service of model engines.
+func (e Example) EngineService() string { return e.engineService }
 
-// Model is the model that the engines run.
+// Model returns the model that the engines run.
 func (e Example) Model() string { return e.model }
 
-// Plain is its plain service.
-func (e Example) Plain() string { return e.plain }
+// PlainService returns the name of its plain service.
+func (e Example) PlainService() string { return e.plainService }
 
-// Key is the bearer key of its account.
+// Key returns the bearer key of its account.
 func (e Example) Key() string { return e.key }
--- a/turmericwallstand/internal/twmeasure/parts.go
+++ b/turmericwallstand/internal/twmeasure/parts.go
@@ -140,7 +140,7 @@
 			began := time.Now()
 			header := http.Header{"Idempotency-Key": {fmt.Sprintf("m-%d", i)}}
 			address := site.CallerAddresses()[i%len(site.CallerAddresses())]
-			response, err := caller.Call(ctx, http.MethodPost, "http://"+address+"/services/"+example.Plain()+"/bookings", header, i)
+			response, err := caller.Call(ctx, http.MethodPost, "http://"+address+"/services/"+example.PlainService()+"/bookings", header, i)
 			if err == nil {
 				err = response.Body.Close()
 			}
--- a/turmericwallstand/internal/twsite/site.go
+++ b/turmericwallstand/internal/twsite/site.go
@@ -137,7 +137,7 @@
 		if i >= s.config.Prefill {
 			config.Role = turmericwall.RoleDecode
 		}
-		config.Name = fmt.Sprintf("%s-%s-%d", s.config.Example.Engines(), config.Role, i)
+		config.Name = fmt.Sprintf("%s-%s-%d", s.config.Example.EngineService(), config.Role, i)
 		config.Models = []string{s.config.Example.Model()}
 		if err := s.startEngine(config, s.config.Example.Zone(i)); err != nil {
 			return err
@@ -153,7 +153,7 @@
 	}
 	engine := twenginestand.New(config)
 	s.engines = append(s.engines, engine)
-	s.listVM(config.Name, s.config.Example.Engines(), zone, listener)
+	s.listVM(config.Name, s.config.Example.EngineService(), zone, listener)
 	inner, cancel := context.WithCancel(s.tasks.Context())
 	s.stopEngine = append(s.stopEngine, cancel)
 	s.tasks.Start(config.Name, func(context.Context) error { return engine.Serve(inner, listener) })
@@ -166,10 +166,10 @@
 		if err != nil {
 			return fmt.Errorf("open a service's listener on a free loopback port: %w", err)
 		}
-		name := fmt.Sprintf("%s-%d", s.config.Example.Plain(), i)
+		name := fmt.Sprintf("%s-%d", s.config.Example.PlainService(), i)
 		service := twservicestand.New(name)
 		s.services = append(s.services, service)
-		s.listVM(name, s.config.Example.Plain(), s.config.Example.Zone(i), listener)
+		s.listVM(name, s.config.Example.PlainService(), s.config.Example.Zone(i), listener)
 		s.tasks.Start(name, func(ctx context.Context) error { return service.Serve(ctx, listener) })
 	}
 	return nil
