--- a/turmericwallstand/internal/twcaller/caller.go
+++ b/turmericwallstand/internal/twcaller/caller.go
@@ -1,4 +1,5 @@
-// Package twcaller makes calls as a caller of the router would.
+// Package twcaller sends calls as a caller of the router does, with JSON bodies and a bearer key. The demonstration,
+// load runs, measurements and tests call daemons through it.
 package twcaller
 
 import (
@@ -9,13 +10,13 @@
 	"net/http"
 )
 
-// Caller sends JSON with an account's key.
+// Caller sends calls with an account's key. It is safe for concurrent use.
 type Caller struct {
 	client *http.Client
 	key    string
 }
 
-// Completion is the body of a completion.
+// Completion is the body of a completion request.
 type Completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -23,14 +24,15 @@
 	Stream    bool   `json:"stream,omitempty"`
 }
 
-// New returns a caller; an empty key sends none.
+// New returns a caller that uses the client; with an empty key it sends no Authorization header.
 func New(client *http.Client, key string) *Caller { return &Caller{client: client, key: key} }
 
-// Call sends one call; the answer's body is the caller's to close.
+// Call sends one call with the body encoded as JSON, and returns the answer whatever its status is. The caller of Call
+// closes the answer's body.
 func (c *Caller) Call(ctx context.Context, method, address string, header http.Header, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return nil, fmt.Errorf("encode the call of %s: %w", address, err)
+		return nil, fmt.Errorf("encode the body of the call of %s: %w", address, err)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(encoded))
 	if err != nil {
@@ -45,8 +47,8 @@
 	return c.client.Do(request)
 }
 
-// Read gets an address and decodes its JSON.
-func (c *Caller) Read(ctx context.Context, address string, target any) error {
+// ReadJSON gets the URL and decodes the JSON answer into target, whatever its status is.
+func (c *Caller) ReadJSON(ctx context.Context, address string, target any) error {
 	response, err := c.Call(ctx, http.MethodGet, address, nil, nil)
 	if err != nil {
 		return err
--- a/turmericwallstand/internal/twmeasure/control.go
+++ b/turmericwallstand/internal/twmeasure/control.go
@@ -131,7 +131,7 @@
 	total := 0.0
 	for _, address := range site.OperatorAddresses() {
 		var c placementCounters
-		_ = twcaller.New(http.DefaultClient, "").Read(ctx, "http://"+address+"/metrics", &c)
+		_ = twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/metrics", &c)
 		total += c.PlaceIn.Count + c.PlaceOut.Count + c.FinishIn.Count + c.FinishOut.Count
 	}
 	return total
@@ -234,7 +234,7 @@
 
 func metricsOf(ctx context.Context, address string) (counters, error) {
 	var c counters
-	if err := twcaller.New(http.DefaultClient, "").Read(ctx, "http://"+address+"/metrics", &c); err != nil {
+	if err := twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/metrics", &c); err != nil {
 		return c, fmt.Errorf("read the metrics of %s: %w", address, err)
 	}
 	return c, nil
--- a/turmericwallstand/internal/twmeasure/parts.go
+++ b/turmericwallstand/internal/twmeasure/parts.go
@@ -87,7 +87,7 @@
 
 func revisionOf(ctx context.Context, address string) int64 {
 	var r revision
-	_ = twcaller.New(http.DefaultClient, "").Read(ctx, "http://"+address+"/status", &r)
+	_ = twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/status", &r)
 	return r.Revision
 }
 
@@ -208,7 +208,7 @@
 		all := 0
 		for _, address := range site.OperatorAddresses() {
 			var l load
-			_ = twcaller.New(http.DefaultClient, "").Read(ctx, "http://"+address+"/status", &l)
+			_ = twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/status", &l)
 			all += l.InFlight
 		}
 		if all >= n {
--- a/turmericwallstand/internal/twsite/control.go
+++ b/turmericwallstand/internal/twsite/control.go
@@ -20,7 +20,7 @@
 func (s *Site) KillLeader() {
 	for i, address := range s.OperatorAddresses() {
 		var status twoperations.Status
-		if operatorsClient().Read(context.Background(), "http://"+address+"/status", &status) == nil && len(status.Keeps) > 0 {
+		if operatorsClient().ReadJSON(context.Background(), "http://"+address+"/status", &status) == nil && len(status.Keeps) > 0 {
 			s.daemons[i].Kill()
 			return
 		}
@@ -42,7 +42,7 @@
 func (s *Site) PrefillTokens(ctx context.Context) (computed, wasted int64, err error) {
 	for _, address := range s.OperatorAddresses() {
 		var m prefillMetrics
-		if readErr := operatorsClient().Read(ctx, "http://"+address+"/metrics", &m); readErr != nil {
+		if readErr := operatorsClient().ReadJSON(ctx, "http://"+address+"/metrics", &m); readErr != nil {
 			continue
 		}
 		computed += m.Computed.Count
