--- a/turmericwallstand/internal/twcompare/run.go
+++ b/turmericwallstand/internal/twcompare/run.go
@@ -46,7 +46,7 @@
 
 // Capacity is the rate, in requests a second, at which the scarcer pool of the site is just busy.
 func Capacity(deployment string) (float64, error) {
-	prompt, answer, err := twmix.Means(deployment)
+	prompt, answer, err := twmix.MeanTokens(deployment)
 	if err != nil {
 		return 0, err
 	}
