--- a/turmericwallstand/internal/twcommand/command.go
+++ b/turmericwallstand/internal/twcommand/command.go
@@ -96,7 +96,7 @@
 	}
 	return twcompare.New(twcompare.Config{
 		Deployment: c.Deployment, Policies: c.Policies, Levels: c.Levels, Seeds: c.Seeds, Length: c.Length,
-		Fault: c.Fault, ComeBack: c.ComeBack, From: c.From, Folder: c.Folder, Output: s.out, Log: log,
+		Fault: c.Fault, RetryRefused: c.ComeBack, From: c.From, Folder: c.Folder, Output: s.out, Log: log,
 	}).Run(ctx)
 }
 
--- a/turmericwallstand/internal/twcompare/compare.go
+++ b/turmericwallstand/internal/twcompare/compare.go
@@ -24,9 +24,9 @@
 	Levels     []float64
 	Seeds      int
 	// Length is how long requests arrive in each run.
-	Length   time.Duration
-	Fault    string
-	ComeBack bool
+	Length       time.Duration
+	Fault        string
+	RetryRefused bool
 	// From names runs on record, to tabulate and draw again instead of running.
 	From string
 	// Folder receives the runs as JSON and the picture; empty writes none.
@@ -146,10 +146,10 @@
 	w.refused += float64(s.Refused)
 	w.failed += float64(s.Failed)
 	w.wrong += float64(s.Wrong)
-	w.deferrable += float64(s.DeferrableEnd) / float64(max(1, s.Deferrable))
+	w.deferrable += float64(s.DeferrableAnswered) / float64(max(1, s.Deferrable))
 	w.recovery += float64(r.RecoverySeconds)
-	w.cameBack += float64(s.CameBack)
-	w.served += float64(s.Served)
+	w.cameBack += float64(s.Retried)
+	w.served += float64(s.RetriesServed)
 	for _, k := range s.ByWork {
 		w.starved = min(w.starved, float64(k.Good)/float64(max(1, k.Offered)))
 	}
--- a/turmericwallstand/internal/twcompare/fault.go
+++ b/turmericwallstand/internal/twcompare/fault.go
@@ -51,7 +51,7 @@
 		site.SetPlatformFaults(twplatformstand.Faults{Outage: true})
 		time.AfterFunc(c.config.Length/2, func() { site.SetPlatformFaults(twplatformstand.Faults{}) })
 	case FaultCancels:
-		load.CancelSome(cancelEvery)
+		load.CancelEveryNth(cancelEvery)
 	case FaultSlowLinks:
 		for _, e := range site.Engines()[:prefill] {
 			e.SetFaults(twenginestand.Faults{LinkFactor: slowLink})
--- a/turmericwallstand/internal/twcompare/run.go
+++ b/turmericwallstand/internal/twcompare/run.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	load := twload.New(twload.Config{
-		Example: example, Callers: site.CallerAddresses(), Requests: mix.Arrivals(r.Rate, c.config.Length), FetchFor: fetchFor, ComeBack: c.config.ComeBack,
+		Example: example, Callers: site.CallerAddresses(), Requests: mix.Arrivals(r.Rate, c.config.Length), FetchFor: fetchFor, RetryRefused: c.config.RetryRefused,
 	})
 	faulted := make(chan error, 1)
 	go func() { faulted <- c.disturb(ctx, site, load) }()
--- a/turmericwallstand/internal/twload/calls.go
+++ b/turmericwallstand/internal/twload/calls.go
@@ -16,17 +16,19 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twmix"
 )
 
+// chunk is a part of a streamed answer, or an answer that is sent at once.
 type chunk struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 }
 
+// refusal is the part of a problem body that states the retry time.
 type refusal struct {
 	RetryAfterMillis int64 `json:"retryAfterMillis"`
 }
 
-// sendUrgent streams an answer and checks every byte of it.
+// sendUrgent requests a streamed answer, measures its tokens and checks every byte.
 func (l *Load) sendUrgent(ctx context.Context, daemon int, r twmix.Request) Result {
 	start := time.Now()
 	response, err := l.caller.Call(ctx, http.MethodPost, l.address(daemon, "/v1/completions"), http.Header{"X-Work": {r.Work}},
@@ -41,10 +43,11 @@
 		return result
 	}
 	text := result.readStream(response.Body, start)
-	result.Right = text == twenginestand.Answer(r.Prompt, r.MaxTokens)
+	result.Correct = text == twenginestand.Answer(r.Prompt, r.MaxTokens)
 	return result
 }
 
+// readStream reads the stream to its end, records the times of its tokens and returns the text.
 func (r *Result) readStream(stream io.Reader, start time.Time) string {
 	var text strings.Builder
 	var first, last time.Time
@@ -56,7 +59,7 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			r.Whole = true
+			r.Complete = true
 			continue
 		}
 		var c chunk
@@ -77,6 +80,7 @@
 	return text.String()
 }
 
+// sendDeferrable submits a deferrable request, whose answer fetchDeferred fetches later.
 func (l *Load) sendDeferrable(ctx context.Context, daemon, number int, r twmix.Request) Result {
 	header := http.Header{"X-Work": {r.Work}, "Prefer": {"respond-async"}, "Idempotency-Key": {fmt.Sprintf("load-%d", number)}}
 	response, err := l.caller.Call(ctx, http.MethodPost, l.address(daemon, "/v1/completions"), header,
@@ -91,7 +95,7 @@
 	return Result{Status: response.StatusCode, location: response.Header.Get("Location")}
 }
 
-// fetch asks once for a deferred answer.
+// fetch requests a deferred answer once, and checks it if it is there.
 func (l *Load) fetch(ctx context.Context, start time.Time, r *Result) {
 	response, err := l.caller.Call(ctx, http.MethodGet, l.address(r.Daemon, r.location), nil, nil)
 	if err != nil {
@@ -105,10 +109,11 @@
 	if json.NewDecoder(response.Body).Decode(&c) != nil || len(c.Choices) == 0 {
 		return
 	}
-	r.Whole, r.Ended = true, time.Since(start)
-	r.Right = c.Choices[0].Text == twenginestand.Answer(r.Request.Prompt, r.Request.MaxTokens)
+	r.Complete, r.Ended = true, time.Since(start)
+	r.Correct = c.Choices[0].Text == twenginestand.Answer(r.Request.Prompt, r.Request.MaxTokens)
 }
 
+// sendPlain calls the plain service of the deployment. Any answer with status 200 counts as correct.
 func (l *Load) sendPlain(ctx context.Context, daemon, number int) Result {
 	path := map[string]string{"arriola": "/bookings", "sonnenmatt": "/medication"}[l.config.Example.Name()]
 	header := http.Header{"Idempotency-Key": {fmt.Sprintf("load-%d", number)}}
@@ -119,10 +124,11 @@
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
-	whole := err == nil && response.StatusCode == http.StatusOK
-	return Result{Status: response.StatusCode, Whole: whole, Right: whole, FirstToken: time.Since(start)}
+	complete := err == nil && response.StatusCode == http.StatusOK
+	return Result{Status: response.StatusCode, Complete: complete, Correct: complete, FirstToken: time.Since(start)}
 }
 
+// retryAfter returns the wait that the problem in the body states, or 0.
 func retryAfter(body io.Reader) time.Duration {
 	var r refusal
 	if json.NewDecoder(body).Decode(&r) != nil {
--- a/turmericwallstand/internal/twload/load.go
+++ b/turmericwallstand/internal/twload/load.go
@@ -1,4 +1,5 @@
-// Package twload sends a mix of work to daemons in an open loop and measures what comes back.
+// Package twload sends the requests of a mix of work to daemons in an open loop, checks every answer and summarizes the
+// results. The comparison of placement policies measures with it.
 package twload
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twmix"
 )
 
-// Load sends requests at their times, whether or not earlier ones were answered.
+// Load sends requests at their arrival times, whether or not earlier ones have been answered.
 type Load struct {
 	config Config
 	client *http.Client
@@ -24,56 +25,62 @@
 	cancels []context.CancelFunc
 }
 
-// Config says what is sent where.
+// Config sets the requests of a load and the daemons that receive them.
 type Config struct {
 	Example twexample.Example
-	// Callers are the daemons' callers' addresses, used in turn.
+	// Callers are the addresses, as IP:port, at which the daemons serve callers; they are used in turn.
 	Callers  []string
 	Requests []twmix.Request
-	// FetchFor bounds the wait for deferred answers after the last arrival.
+	// FetchFor is the limit of the wait for deferred answers after all requests have ended.
 	FetchFor time.Duration
-	// ComeBack sends a refused request once more, at the time the refusal gave.
-	ComeBack bool
+	// RetryRefused sends a refused request once more, at the retry time that the refusal states.
+	RetryRefused bool
 }
 
-// Result is what one request got.
+// Result is the outcome of one request.
 type Result struct {
 	Request twmix.Request
 	Daemon  int
 	// Status is the HTTP status; 0 means no answer.
-	Status     int
-	Whole      bool
-	Right      bool
+	Status int
+	// Complete is set when the answer arrived to its end, Correct when it is also the expected one.
+	Complete bool
+	Correct  bool
+	// FirstToken is the time from sending the request to its first token; for a plain request, to the end of its
+	// answer.
 	FirstToken time.Duration
 	// Gap is the mean time between tokens.
-	Gap        time.Duration
+	Gap time.Duration
+	// RetryAfter is the wait that a refusal states; 0 if it states none.
 	RetryAfter time.Duration
-	// CameBack tells how a refused request fared at the time it was told.
-	CameBack  *Result
+	// Retried is the outcome of the retry of a refused request; nil if it was not retried.
+	Retried *Result
+	// Cancelled is set when the caller disconnected before the end.
 	Cancelled bool
 	location  string
-	// Ended is when the answer was whole, counted from the start.
+	// Ended is when the request ended, or its deferred answer was fetched, counted from the start of the run.
 	Ended time.Duration
 }
 
 const (
-	maxConns    = 512
-	callTimeout = 60 * time.Second
-	fetchEvery  = 250 * time.Millisecond
+	maxIdleConns   = 512
+	requestTimeout = 60 * time.Second
+	fetchInterval  = 250 * time.Millisecond
 )
 
-// New returns a load.
+// New returns a load that is ready to run.
 func New(config Config) *Load {
-	transport := &http.Transport{MaxIdleConnsPerHost: maxConns}
-	client := &http.Client{Transport: transport, Timeout: callTimeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns}
+	client := &http.Client{Transport: transport, Timeout: requestTimeout}
 	return &Load{config: config, client: client, caller: twcaller.New(client, config.Example.Key())}
 }
 
-// Run sends everything and returns all results once they are in.
+// Run sends all requests, waits for their answers, fetches the deferred ones and returns the results. If ctx ends, the
+// requests that have not arrived by then are not sent.
 func (l *Load) Run(ctx context.Context) []Result {
 	defer l.client.CloseIdleConnections()
 	start := time.Now()
-	ends := make(chan struct{})
+	done := make(chan struct{})
 	sent := 0
 	for i, r := range l.config.Requests {
 		if !sleepUntil(ctx, start.Add(r.After)) {
@@ -81,21 +88,21 @@
 		}
 		sent++
 		go func() {
-			l.one(ctx, start, i, r)
-			ends <- struct{}{}
+			l.runRequest(ctx, start, i, r)
+			done <- struct{}{}
 		}()
 	}
 	for range sent {
-		<-ends
+		<-done
 	}
-	l.fetchAll(ctx, start)
+	l.fetchDeferred(ctx, start)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.results
 }
 
-// CancelSome makes the callers of every nth request under way leave.
-func (l *Load) CancelSome(nth int) {
+// CancelEveryNth disconnects the caller of every nth request sent so far; for those that have ended this has no effect.
+func (l *Load) CancelEveryNth(nth int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, cancel := range l.cancels {
@@ -105,11 +112,13 @@
 	}
 }
 
-func (l *Load) one(ctx context.Context, start time.Time, number int, r twmix.Request) {
+// runRequest sends a request, retries it once if it is refused and refused requests are retried, and records the
+// result.
+func (l *Load) runRequest(ctx context.Context, start time.Time, number int, r twmix.Request) {
 	result := l.send(ctx, number, r)
-	if l.config.ComeBack && result.RetryAfter > 0 && sleepUntil(ctx, time.Now().Add(result.RetryAfter)) {
+	if l.config.RetryRefused && result.RetryAfter > 0 && sleepUntil(ctx, time.Now().Add(result.RetryAfter)) {
 		again := l.send(ctx, number+1, r)
-		result.CameBack = &again
+		result.Retried = &again
 	}
 	result.Ended = time.Since(start)
 	l.mu.Lock()
@@ -138,8 +147,8 @@
 	return result
 }
 
-// fetchAll waits for the deferred answers.
-func (l *Load) fetchAll(ctx context.Context, start time.Time) {
+// fetchDeferred polls for the deferred answers until all of them are complete or FetchFor has elapsed.
+func (l *Load) fetchDeferred(ctx context.Context, start time.Time) {
 	deadline := time.Now().Add(l.config.FetchFor)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,15 +156,15 @@
 		open := 0
 		for i := range l.results {
 			r := &l.results[i]
-			if r.location == "" || r.Whole {
+			if r.location == "" || r.Complete {
 				continue
 			}
 			l.fetch(ctx, start, r)
-			if !r.Whole {
+			if !r.Complete {
 				open++
 			}
 		}
-		if open == 0 || time.Now().After(deadline) || !sleepUntil(ctx, time.Now().Add(fetchEvery)) {
+		if open == 0 || time.Now().After(deadline) || !sleepUntil(ctx, time.Now().Add(fetchInterval)) {
 			return
 		}
 	}
@@ -165,6 +174,7 @@
 	return fmt.Sprintf("http://%s%s", l.config.Callers[daemon], path)
 }
 
+// sleepUntil waits until the time and reports whether it was reached before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/turmericwallstand/internal/twload/summary.go
+++ b/turmericwallstand/internal/twload/summary.go
@@ -7,52 +7,54 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary is what the results of one run come to.
+// Summary aggregates the results of one run.
 type Summary struct {
 	Offered int `json:"offered"`
-	// Good requests were whole, right and within both targets; deferrable ones were whole and right.
-	Good          int     `json:"good"`
-	OfferedWorth  float64 `json:"offeredWorth"`
-	GoodWorth     float64 `json:"goodWorth"`
-	Refused       int     `json:"refused"`
-	Failed        int     `json:"failed"`
-	Wrong         int     `json:"wrong"`
-	Late          int     `json:"late"`
-	Cancelled     int     `json:"cancelled"`
-	Deferrable    int     `json:"deferrable"`
-	DeferrableEnd int     `json:"deferrableEnded"`
+	// Good counts the requests whose answer was complete, correct and, if urgent, within both targets.
+	Good               int     `json:"good"`
+	OfferedWorth       float64 `json:"offeredWorth"`
+	GoodWorth          float64 `json:"goodWorth"`
+	Refused            int     `json:"refused"`
+	Failed             int     `json:"failed"`
+	Wrong              int     `json:"wrong"`
+	Late               int     `json:"late"`
+	Cancelled          int     `json:"cancelled"`
+	Deferrable         int     `json:"deferrable"`
+	DeferrableAnswered int     `json:"deferrableEnded"`
 	// FirstTokenMillis and GapMillis are the 95th percentiles of urgent work that was answered.
 	FirstTokenMillis float64 `json:"firstTokenMillis"`
 	GapMillis        float64 `json:"gapMillis"`
-	// CameBack and Served tell how many refused requests came back at the time given, and were answered.
-	CameBack int `json:"cameBack"`
-	Served   int `json:"served"`
+	// Retried counts the refused requests that were retried at the stated time, RetriesServed those of them with a good
+	// answer.
+	Retried       int `json:"cameBack"`
+	RetriesServed int `json:"served"`
 	// ByWork counts the good and offered requests of each kind.
-	ByWork map[string]*Share `json:"byWork"`
-	// GoodBySecond counts the good urgent requests by the second in which they ended.
+	ByWork map[string]*WorkCounts `json:"byWork"`
+	// GoodBySecond counts the good requests that are not deferrable, by the second of the run in which they ended.
 	GoodBySecond []int `json:"goodBySecond"`
 }
 
-// Share is a part of what was offered.
-type Share struct {
+// WorkCounts counts the requests of one kind of work.
+type WorkCounts struct {
 	Good    int `json:"good"`
 	Offered int `json:"offered"`
 }
 
+// Parameters of the percentiles; the histograms hold microseconds, up to one minute.
 const (
-	percentile     = 95
-	histogramMax   = 60_000_000
-	histogramDigit = 3
+	percentile         = 95
+	histogramMaxMicros = 60_000_000
+	histogramDigits    = 3
 )
 
-// Summarize counts the results.
+// Summarize aggregates the results of a run.
 func Summarize(results []Result) Summary {
-	s := Summary{ByWork: make(map[string]*Share)}
-	first := hdrhistogram.New(1, histogramMax, histogramDigit)
-	gap := hdrhistogram.New(1, histogramMax, histogramDigit)
+	s := Summary{ByWork: make(map[string]*WorkCounts)}
+	first := hdrhistogram.New(1, histogramMaxMicros, histogramDigits)
+	gap := hdrhistogram.New(1, histogramMaxMicros, histogramDigits)
 	for _, r := range results {
 		s.count(r)
-		if !r.Request.Plain && !r.Request.Deferrable && r.Whole {
+		if !r.Request.Plain && !r.Request.Deferrable && r.Complete {
 			_ = first.RecordValue(r.FirstToken.Microseconds())
 			_ = gap.RecordValue(r.Gap.Microseconds())
 		}
@@ -65,38 +67,39 @@
 func (s *Summary) count(r Result) {
 	s.Offered++
 	s.OfferedWorth += r.Request.Worth
-	share := s.share(r)
-	share.Offered++
+	workCounts := s.workCounts(r)
+	workCounts.Offered++
 	if r.Request.Deferrable {
 		s.Deferrable++
-		if r.Whole {
-			s.DeferrableEnd++
+		if r.Complete {
+			s.DeferrableAnswered++
 		}
 	}
 	if r.Good() {
 		s.Good++
 		s.GoodWorth += r.Request.Worth
-		share.Good++
+		workCounts.Good++
 		s.countSecond(r)
 	}
-	s.countFault(r)
-	if r.CameBack != nil {
-		s.CameBack++
-		if r.CameBack.Good() {
-			s.Served++
+	s.countFailure(r)
+	if r.Retried != nil {
+		s.Retried++
+		if r.Retried.Good() {
+			s.RetriesServed++
 		}
 	}
 }
 
-func (s *Summary) countFault(r Result) {
+// countFailure counts a request that is not good by its reason.
+func (s *Summary) countFailure(r Result) {
 	switch {
 	case r.Cancelled:
 		s.Cancelled++
-	case r.Whole && !r.Right:
+	case r.Complete && !r.Correct:
 		s.Wrong++
-	case r.Whole && !r.Good():
+	case r.Complete && !r.Good():
 		s.Late++
-	case r.Whole || r.Status == http.StatusAccepted:
+	case r.Complete || r.Status == http.StatusAccepted:
 	case r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests:
 		s.Refused++
 	default:
@@ -104,13 +107,13 @@
 	}
 }
 
-func (s *Summary) share(r Result) *Share {
+func (s *Summary) workCounts(r Result) *WorkCounts {
 	name := r.Request.Work
 	if r.Request.Plain {
 		name = "plain"
 	}
 	if s.ByWork[name] == nil {
-		s.ByWork[name] = &Share{}
+		s.ByWork[name] = &WorkCounts{}
 	}
 	return s.ByWork[name]
 }
@@ -126,10 +129,10 @@
 	s.GoodBySecond[second]++
 }
 
-// Good tells whether the request got all that it is worth.
+// Good reports whether the answer is complete and correct, and within both targets if the request is urgent.
 func (r Result) Good() bool {
 	switch {
-	case !r.Whole || !r.Right || r.Cancelled:
+	case !r.Complete || !r.Correct || r.Cancelled:
 		return false
 	case r.Request.Deferrable || r.Request.Plain:
 		return true
@@ -137,4 +140,5 @@
 	return r.FirstToken <= millis(r.Request.FirstTokenMillis) && r.Gap <= millis(r.Request.TokenGapMillis)
 }
 
+// millis converts milliseconds to a duration.
 func millis(m float64) time.Duration { return time.Duration(m * float64(time.Millisecond)) }
