--- a/turmericwallstand/internal/twbound/bound_test.go
+++ b/turmericwallstand/internal/twbound/bound_test.go
@@ -13,11 +13,12 @@
 
 func config() twbound.Config {
 	return twbound.Config{
-		Decodes: 1, Prefills: 1, MemoryTokens: 20_000, ReadTokensPerMilli: 50, AnswerTokensPerMilli: 1, TargetMillis: 1000, TokensPerEvent: 50,
+		Decodes: 1, Prefills: 1, MemoryTokens: 20_000, PrefillTokensPerMilli: 50, DecodeTokensPerMilli: 1, TargetMillis: 1000, TokensPerEvent: 50,
 	}
 }
 
-// attempts are log lines of calls of 5,000 and 3,000 tokens that arrive at these milliseconds.
+// attempts returns log lines of calls with 5,000 prompt tokens and 3,000 answer tokens that arrive at the given
+// times, in milliseconds.
 func attempts(result string, events int, at ...int) string {
 	var b strings.Builder
 	for i, millis := range at {
@@ -28,43 +29,43 @@
 	return b.String()
 }
 
-func TestOnlySoManyCallsFitIntoTheMemory(t *testing.T) {
+func TestCallsAreBoundedByDecodeMemory(t *testing.T) {
 	g := NewWithT(t)
-	got, err := twbound.Read(config(), strings.NewReader(attempts("answered", 60, 0, 0, 0, 0)+"no log line\n"))
+	got, err := twbound.Compute(config(), strings.NewReader(attempts("answered", 60, 0, 0, 0, 0)+"no log line\n"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect([]int{got.Calls, got.Fit}).To(Equal([]int{4, 2}), "each needs 8,000 of 20,000 tokens at its end")
-	g.Expect(got.Worth).To(BeNumerically("~", 0.5, 0.01))
+	g.Expect([]int{got.Calls, got.OnTimeCalls}).To(Equal([]int{4, 2}), "each needs 8,000 of 20,000 tokens at its end")
+	g.Expect(got.OnTimeShare).To(BeNumerically("~", 0.5, 0.01))
 }
 
-func TestOnlySoManyPromptsAreReadInTime(t *testing.T) {
+func TestCallsAreBoundedByPrefillRate(t *testing.T) {
 	g := NewWithT(t)
 	c := config()
 	c.Decodes = 100
-	got, err := twbound.Read(c, strings.NewReader(attempts("answered", 60, make([]int, 15)...)))
+	got, err := twbound.Compute(c, strings.NewReader(attempts("answered", 60, make([]int, 15)...)))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(got.Fit).To(Equal(10), "50 tokens a millisecond for a second")
+	g.Expect(got.OnTimeCalls).To(Equal(10), "a prefill engine computes 50 tokens a millisecond, for the second of the target")
 }
 
-// A caller that was refused comes back. It is one call, which could have been served at its first attempt.
-func TestACallerThatComesBackCountsOnce(t *testing.T) {
+// A refused call and its retry count as one call, which could have been served at the first attempt.
+func TestRetriedCallCountsOnce(t *testing.T) {
 	g := NewWithT(t)
-	got, err := twbound.Read(config(), strings.NewReader(attempts("refused", 0, 0)+attempts("answered", 60, 2000)))
+	got, err := twbound.Compute(config(), strings.NewReader(attempts("refused", 0, 0)+attempts("answered", 60, 2000)))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect([]int{got.Calls, got.Fit}).To(Equal([]int{1, 1}))
+	g.Expect([]int{got.Calls, got.OnTimeCalls}).To(Equal([]int{1, 1}))
 }
 
-func TestLostPacketsMakeAnswersLate(t *testing.T) {
+func TestPacketLossLowersLossFreeShareOnly(t *testing.T) {
 	g := NewWithT(t)
 	c := config()
 	c.PacketLoss = 0.01
-	got, err := twbound.Read(c, strings.NewReader(attempts("answered", 60, 0)))
+	got, err := twbound.Compute(c, strings.NewReader(attempts("answered", 60, 0)))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(got.Clean).To(BeNumerically("~", 0.2935, 0.001), "0.99 to the power of 122")
-	g.Expect(got.Worth).To(BeNumerically("~", 1, 0.001))
+	g.Expect(got.LossFreeShare).To(BeNumerically("~", 0.2935, 0.001), "0.99 to the power of 122")
+	g.Expect(got.OnTimeShare).To(BeNumerically("~", 1, 0.001))
 }
 
-func TestALogWithoutCallsIsAnError(t *testing.T) {
+func TestLogWithoutCallsIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	_, err := twbound.Read(config(), strings.NewReader("nothing\n"))
-	g.Expect(err).To(MatchError(ContainSubstring("no line tells of a model call")))
+	_, err := twbound.Compute(config(), strings.NewReader("nothing\n"))
+	g.Expect(err).To(MatchError(ContainSubstring("no line reports a model call")))
 }
--- a/turmericwallstand/internal/twcommand/command.go
+++ b/turmericwallstand/internal/twcommand/command.go
@@ -144,15 +144,15 @@
 		defer func() { _ = file.Close() }()
 		logs = file
 	}
-	got, err := twbound.Read(twbound.Config{
-		Decodes: b.Decodes, Prefills: b.Prefills, MemoryTokens: b.Memory, ReadTokensPerMilli: b.ReadSpeed,
-		AnswerTokensPerMilli: b.AnswerSpeed, TargetMillis: b.Target, TokensPerEvent: b.EventTokens, PacketLoss: b.Loss,
+	got, err := twbound.Compute(twbound.Config{
+		Decodes: b.Decodes, Prefills: b.Prefills, MemoryTokens: b.Memory, PrefillTokensPerMilli: b.ReadSpeed,
+		DecodeTokensPerMilli: b.AnswerSpeed, TargetMillis: b.Target, TokensPerEvent: b.EventTokens, PacketLoss: b.Loss,
 	}, logs)
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(s.out, "%d calls, %d fit; by tokens %.3f on time, %.3f on time and without a lost packet\n",
-		got.Calls, got.Fit, got.Worth, got.Clean)
+		got.Calls, got.OnTimeCalls, got.OnTimeShare, got.LossFreeShare)
 	return err
 }
 
