--- a/turmericwallstand/internal/twmeasure/control.go
+++ b/turmericwallstand/internal/twmeasure/control.go
@@ -14,8 +14,8 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twsite"
 )
 
-// members watches idle daemons: heartbeats, and polling of the platform.
-func (m *Measure) members(ctx context.Context) error {
+// members measures idle daemons, which exchange heartbeats and poll the platform.
+func (m *Measure) measureMembers(ctx context.Context) error {
 	peers := &series{name: "peer traffic of a daemon, in and out", unit: "KB/s"}
 	messages := &series{name: "peer messages", unit: "1/s"}
 	platform := &series{name: "read from the platform", unit: "KB/s"}
@@ -23,12 +23,12 @@
 	processor := &series{name: "processor of a daemon", unit: "% of a core"}
 	memory := &series{name: "heap and stacks of a daemon", unit: "MB"}
 	for _, n := range []int{3, 6, 12, 24, 54} {
-		before := heap()
+		before := liveMemoryBytes()
 		site, err := twsite.New(ctx, twsite.Config{Example: twexample.Arriola(), Daemons: n, Policy: policy, Log: io.Discard})
 		if err != nil {
 			return err
 		}
-		w, err := m.watch(ctx, site)
+		w, err := m.countTraffic(ctx, site)
 		if err != nil {
 			return err
 		}
@@ -38,20 +38,20 @@
 		platform.add(float64(n), w.platformBytes/share/kilobyte)
 		reads.add(float64(n), w.platformCalls/share)
 		processor.add(float64(n), 100*w.processor.Seconds()/share)
-		memory.add(float64(n), (heap()-before)/float64(n)/megabyte)
+		memory.add(float64(n), (liveMemoryBytes()-before)/float64(n)/megabyte)
 		if err := site.Close(); err != nil {
 			return err
 		}
 	}
-	return m.report("members: idle daemons in one process, with the platform's stand-in", "daemons",
+	return m.printSeries("members: idle daemons in one process, with the platform's stand-in", "daemons",
 		peers, messages, platform, reads, processor, memory)
 }
 
-// longAnswer keeps a decode place for more than a minute.
-const longAnswer = 2000
+// longAnswerTokens is the length of an answer that holds a decode slot for more than a minute.
+const longAnswerTokens = 2000
 
-// engines watches a leader whose decode engines are full.
-func (m *Measure) engines(ctx context.Context) error {
+// engines measures a leader whose decode engines are full.
+func (m *Measure) measureEngines(ctx context.Context) error {
 	const slots = 20
 	reports := &series{name: "reports and events read by the leader", unit: "KB/s"}
 	calls := &series{name: "calls to engines", unit: "1/s"}
@@ -64,11 +64,11 @@
 		if err != nil {
 			return err
 		}
-		release, err := fill(ctx, site, (n-n/4)*slots)
+		release, err := openStreams(ctx, site, (n-n/4)*slots)
 		if err != nil {
 			return err
 		}
-		w, err := m.watch(ctx, site)
+		w, err := m.countTraffic(ctx, site)
 		if err != nil {
 			return err
 		}
@@ -81,11 +81,12 @@
 			return err
 		}
 	}
-	return m.report("engines: one leader, three quarters of them decode, each with 20 attempts", "engines", reports, calls, steps)
+	return m.printSeries("engines: one leader, three quarters of them decode, each with 20 attempts", "engines", reports, calls, steps)
 }
 
-// placements sends requests with prompts of growing length to a daemon that is not the leader.
-func (m *Measure) placements(ctx context.Context) error {
+// placements measures the peer traffic of a placement with prompts of growing length. Two thirds of the requests go
+// through daemons that are not the leader.
+func (m *Measure) measurePlacements(ctx context.Context) error {
 	const requests = 100
 	traffic := &series{name: "peer traffic of a placement, its ending included", unit: "bytes"}
 	for _, tokens := range []int{50, 500, 2000, 8000, 16_000} {
@@ -96,61 +97,64 @@
 		if err != nil {
 			return err
 		}
-		if err := sleep(ctx, settle); err != nil {
+		if err := sleep(ctx, settleTime); err != nil {
 			return err
 		}
-		before := placed(ctx, site)
+		before := placementBytes(ctx, site)
 		prompt := strings.Repeat("a", tokens*bytesPerToken)
 		for i := range requests {
-			if _, err := stream(ctx, site.CallerAddresses()[i%3], twexample.Arriola(), prompt, 1); err != nil {
+			if _, err := streamCompletion(ctx, site.CallerAddresses()[i%3], twexample.Arriola(), prompt, 1); err != nil {
 				return err
 			}
 		}
 		if err := sleep(ctx, time.Second); err != nil {
 			return err
 		}
-		// One daemon of three is the leader and asks itself; each message is counted at both its ends.
-		traffic.add(float64(tokens), (placed(ctx, site)-before)/2/(requests*2/3.0))
+		// One daemon of three is the leader and sends itself no messages; each message is counted at both ends.
+		traffic.add(float64(tokens), (placementBytes(ctx, site)-before)/2/(requests*2/3.0))
 		if err := site.Close(); err != nil {
 			return err
 		}
 	}
-	return m.report("placements: requests through daemons that ask another one", "prompt tokens", traffic)
+	return m.printSeries("placements: requests through daemons that ask another one", "prompt tokens", traffic)
 }
 
 const bytesPerToken = 4
 
-type placementCounters struct {
+// placementMetrics are a daemon's byte counters of placement messages.
+type placementMetrics struct {
 	PlaceIn   counter `json:"control.Place.bytesIn"`
 	PlaceOut  counter `json:"control.Place.bytesOut"`
 	FinishIn  counter `json:"control.Finish.bytesIn"`
 	FinishOut counter `json:"control.Finish.bytesOut"`
 }
 
-func placed(ctx context.Context, site *twsite.Site) float64 {
+// placementBytes returns the bytes of placement messages that all daemons counted.
+func placementBytes(ctx context.Context, site *twsite.Site) float64 {
 	total := 0.0
 	for _, address := range site.OperatorAddresses() {
-		var c placementCounters
+		var c placementMetrics
 		_ = twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/metrics", &c)
 		total += c.PlaceIn.Count + c.PlaceOut.Count + c.FinishIn.Count + c.FinishOut.Count
 	}
 	return total
 }
 
-// fill opens streams that stay, until release is called.
-func fill(ctx context.Context, site *twsite.Site, streams int) (release func(), err error) {
+// openStreams opens long streams and waits until the engines hold nine tenths of them. The streams stay open until
+// release is called.
+func openStreams(ctx context.Context, site *twsite.Site, streams int) (release func(), err error) {
 	inner, cancel := context.WithCancel(ctx)
-	ends := make(chan struct{})
+	done := make(chan struct{})
 	for i := range streams {
 		go func() {
-			_, _ = stream(inner, site.CallerAddresses()[i%len(site.CallerAddresses())], twexample.Arriola(), "wait", longAnswer)
-			ends <- struct{}{}
+			_, _ = streamCompletion(inner, site.CallerAddresses()[i%len(site.CallerAddresses())], twexample.Arriola(), "wait", longAnswerTokens)
+			done <- struct{}{}
 		}()
 	}
 	release = func() {
 		cancel()
 		for range streams {
-			<-ends
+			<-done
 		}
 	}
 	if err := awaitHeld(ctx, site, streams); err != nil {
@@ -160,8 +164,8 @@
 	return release, nil
 }
 
-// watched is what all daemons of a site counted while they were watched.
-type watched struct {
+// totals are the sums of the counters of all daemons of a site, and the processor time of the process.
+type totals struct {
 	peerBytes, peerMessages      float64
 	platformBytes, platformCalls float64
 	engineBytes, engineCalls     float64
@@ -169,22 +173,22 @@
 	processor                    time.Duration
 }
 
-// watch lets the site settle, and then counts for the length of a point.
-func (m *Measure) watch(ctx context.Context, site *twsite.Site) (watched, error) {
-	if err := sleep(ctx, settle); err != nil {
-		return watched{}, err
+// watch waits until the site has settled, and returns what its daemons count during the length of a point.
+func (m *Measure) countTraffic(ctx context.Context, site *twsite.Site) (totals, error) {
+	if err := sleep(ctx, settleTime); err != nil {
+		return totals{}, err
 	}
-	before, err := countersOf(ctx, site)
+	before, err := sumCounters(ctx, site)
 	if err != nil {
-		return watched{}, err
+		return totals{}, err
 	}
 	used := processorTime()
 	if err := sleep(ctx, m.config.Length); err != nil {
-		return watched{}, err
+		return totals{}, err
 	}
 	spent := processorTime() - used
-	after, err := countersOf(ctx, site)
-	return watched{
+	after, err := sumCounters(ctx, site)
+	return totals{
 		peerBytes:     after.peerBytes - before.peerBytes,
 		peerMessages:  after.peerMessages - before.peerMessages,
 		platformBytes: after.platformBytes - before.platformBytes,
@@ -196,7 +200,8 @@
 	}, err
 }
 
-type counters struct {
+// daemonMetrics are a daemon's counters of control traffic and of the platform's use.
+type daemonMetrics struct {
 	BytesIn  counter `json:"control.bytesIn"`
 	BytesOut counter `json:"control.bytesOut"`
 	Messages counter `json:"control.messages"`
@@ -213,11 +218,11 @@
 	Count float64 `json:"count"`
 }
 
-// countersOf adds up the counters of all daemons.
-func countersOf(ctx context.Context, site *twsite.Site) (watched, error) {
-	var w watched
+// sumCounters returns the sums of the counters of all daemons.
+func sumCounters(ctx context.Context, site *twsite.Site) (totals, error) {
+	var w totals
 	for _, address := range site.OperatorAddresses() {
-		c, err := metricsOf(ctx, address)
+		c, err := readMetrics(ctx, address)
 		if err != nil {
 			return w, err
 		}
@@ -232,10 +237,10 @@
 	return w, nil
 }
 
-func metricsOf(ctx context.Context, address string) (counters, error) {
-	var c counters
+func readMetrics(ctx context.Context, address string) (daemonMetrics, error) {
+	var c daemonMetrics
 	if err := twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/metrics", &c); err != nil {
-		return c, fmt.Errorf("read the metrics of %s: %w", address, err)
+		return c, fmt.Errorf("read the metrics of daemon %s: %w", address, err)
 	}
 	return c, nil
 }
--- a/turmericwallstand/internal/twmeasure/measure.go
+++ b/turmericwallstand/internal/twmeasure/measure.go
@@ -1,4 +1,5 @@
-// Package twmeasure measures how a daemon's cost grows with daemons, document, claims and waiting requests.
+// Package twmeasure measures how a daemon's cost grows with the numbers of daemons, engines, accounts, claims and
+// waiting calls. Each part runs complete sites in this process, prints its points, and fits a line to each series.
 package twmeasure
 
 import (
@@ -13,16 +14,17 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Measure makes the points of docs/CAPACITY.md and fits a line to each row.
+// Measure runs the measurements on which docs/CAPACITY.md is based.
 type Measure struct {
 	config Config
 }
 
-// Config says what is measured.
+// Config selects the parts to measure.
 type Config struct {
-	// Parts are members, engines, placements, document, claims, waiting and overhead.
+	// Parts names the parts to measure, in order: any of members, engines, placements, document, claims, waiting and
+	// overhead.
 	Parts []string
-	// Length is how long each point is watched.
+	// Length is the time for which each point is measured.
 	Length time.Duration
 	Output io.Writer
 }
@@ -30,10 +32,11 @@
 // New returns a measurement.
 func New(config Config) *Measure { return &Measure{config: config} }
 
-// Run makes the points of each part and prints them.
+// Run measures the parts and prints their points. It returns an error for an unknown part and for the first part that
+// fails.
 func (m *Measure) Run(ctx context.Context) error {
 	parts := map[string]func(context.Context) error{
-		"members": m.members, "engines": m.engines, "placements": m.placements, "document": m.document, "claims": m.claims, "waiting": m.waiting, "overhead": m.overhead,
+		"members": m.measureMembers, "engines": m.measureEngines, "placements": m.measurePlacements, "document": m.measureDocument, "claims": m.measureClaims, "waiting": m.measureWaiting, "overhead": m.measureOverhead,
 	}
 	for _, name := range m.config.Parts {
 		part, ok := parts[name]
@@ -47,7 +50,7 @@
 	return nil
 }
 
-// series is one measured quantity over the points of a part.
+// series is one measured quantity over the points of a part: x is the part's size, y the value.
 type series struct {
 	name string
 	unit string
@@ -60,8 +63,8 @@
 	s.y = append(s.y, y)
 }
 
-// report prints the points, the fitted line and how much of the spread it explains.
-func (m *Measure) report(title, x string, all ...*series) error {
+// report prints the points of the series as a table, with the fitted line of each and its coefficient of determination.
+func (m *Measure) printSeries(title, x string, all ...*series) error {
 	table := tabwriter.NewWriter(m.config.Output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "%s\n", title)
 	_, _ = fmt.Fprintf(table, "%s", x)
@@ -87,6 +90,7 @@
 	return table.Flush()
 }
 
+// fit returns the parameter of the linear regression that the label names.
 func (s *series) fit(label string) float64 {
 	offset, slope := stat.LinearRegression(s.x, s.y, nil, false)
 	switch label {
@@ -99,7 +103,7 @@
 	}
 }
 
-// processorTime is what the process has used so far.
+// processorTime returns the processor time that the process has used so far, or 0 if it can't be read.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -108,14 +112,15 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heap is the live heap after a collection, in bytes.
-func heap() float64 {
+// liveMemoryBytes returns the bytes of heap and stacks in use after a garbage collection.
+func liveMemoryBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
+// sleep waits for the span, or returns the error of ctx if that ends first.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/turmericwallstand/internal/twmeasure/parts.go
+++ b/turmericwallstand/internal/twmeasure/parts.go
@@ -18,37 +18,39 @@
 )
 
 const (
-	settle      = 4 * time.Second
-	policy      = "leader"
-	repetitions = 20
-	kilobyte    = 1000.0
-	megabyte    = 1e6
-	maxAccounts = 500
-	callTimeout = 30 * time.Second
+	// settleTime is the wait after a site's start before it is measured.
+	settleTime       = 4 * time.Second
+	policy           = "leader"
+	parseRepetitions = 20
+	kilobyte         = 1000.0
+	megabyte         = 1e6
+	maxAccounts      = 500
+	holdTimeout      = 30 * time.Second
 )
 
-// document measures a revision: its parsing, and its way to six daemons.
-func (m *Measure) document(ctx context.Context) error {
+// document measures how long a document takes to parse, and to come into force at six daemons after its apply.
+func (m *Measure) measureDocument(ctx context.Context) error {
 	parse := &series{name: "parse and check", unit: "ms"}
-	force := &series{name: "in force at six daemons, after apply", unit: "ms"}
+	inForceTime := &series{name: "in force at six daemons, after apply", unit: "ms"}
 	for _, accounts := range []int{1, 10, 50, 150, maxAccounts, 4000} {
 		source := withAccounts(accounts)
 		start := time.Now()
-		for range repetitions {
+		for range parseRepetitions {
 			if _, err := twparser.New("measure").Parse(1, source); err != nil {
 				return err
 			}
 		}
-		parse.add(float64(len(source))/kilobyte, time.Since(start).Seconds()*kilobyte/repetitions)
-		inForce, err := m.inForce(ctx, source)
+		parse.add(float64(len(source))/kilobyte, time.Since(start).Seconds()*kilobyte/parseRepetitions)
+		inForce, err := m.measurePropagation(ctx, source)
 		if err != nil {
 			return err
 		}
-		force.add(float64(len(source))/kilobyte, inForce.Seconds()*kilobyte)
+		inForceTime.add(float64(len(source))/kilobyte, inForce.Seconds()*kilobyte)
 	}
-	return m.report("document: size from one account to 4,000", "KB", parse, force)
+	return m.printSeries("document: size from one account to 4,000", "KB", parse, inForceTime)
 }
 
+// withAccounts returns a document with n accounts.
 func withAccounts(n int) []byte {
 	var accounts []string
 	for i := range n {
@@ -58,8 +60,8 @@
 		`"firstTokenMillis":1200,"tokenGapMillis":54,"worth":1}],"accounts":[%s]}`, strings.Join(accounts, ",\n"))
 }
 
-// inForce applies a second revision and waits until every daemon has it.
-func (m *Measure) inForce(ctx context.Context, source []byte) (time.Duration, error) {
+// inForce applies a second revision and returns the time until every daemon has it in force.
+func (m *Measure) measurePropagation(ctx context.Context, source []byte) (time.Duration, error) {
 	const daemons = 6
 	site, err := twsite.New(ctx, twsite.Config{Example: twexample.Arriola(), Daemons: daemons, Policy: policy, Log: io.Discard})
 	if err != nil {
@@ -71,7 +73,7 @@
 		return 0, err
 	}
 	for _, address := range site.OperatorAddresses() {
-		for revisionOf(ctx, address) < 2 {
+		for readRevision(ctx, address) < 2 {
 			if err := sleep(ctx, 5*time.Millisecond); err != nil {
 				return 0, err
 			}
@@ -81,18 +83,20 @@
 	return took, site.Close()
 }
 
-type revision struct {
+type revisionStatus struct {
 	Revision int64 `json:"revision"`
 }
 
-func revisionOf(ctx context.Context, address string) int64 {
-	var r revision
+// readRevision returns the revision that the daemon has in force, or 0 if it can't be read.
+func readRevision(ctx context.Context, address string) int64 {
+	var r revisionStatus
 	_ = twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/status", &r)
 	return r.Revision
 }
 
-// claims sends calls that may not be repeated at growing rates, and counts the platform's transactions.
-func (m *Measure) claims(ctx context.Context) error {
+// claims sends non-idempotent calls at growing rates, and measures the platform's transactions and the time to the
+// answer.
+func (m *Measure) measureClaims(ctx context.Context) error {
 	example := twexample.Arriola()
 	writes := &series{name: "rows written", unit: "1/s"}
 	commits := &series{name: "transactions", unit: "1/s"}
@@ -102,13 +106,13 @@
 		if err != nil {
 			return err
 		}
-		took, err := book(ctx, site, example, rate, m.config.Length)
+		took, err := sendBookings(ctx, site, example, rate, m.config.Length)
 		if err != nil {
 			return err
 		}
 		rows, transactions := 0.0, 0.0
 		for _, address := range site.OperatorAddresses() {
-			c, err := metricsOf(ctx, address)
+			c, err := readMetrics(ctx, address)
 			if err != nil {
 				return err
 			}
@@ -122,11 +126,11 @@
 			return err
 		}
 	}
-	return m.report("claims: bookings spread over six daemons, platform without latency", "calls/s", writes, commits, median)
+	return m.printSeries("claims: bookings spread over six daemons, platform without latency", "calls/s", writes, commits, median)
 }
 
-// book sends bookings at the rate and returns the median time to the answer.
-func book(ctx context.Context, site *twsite.Site, example twexample.Example, rate float64, length time.Duration) (time.Duration, error) {
+// sendBookings sends bookings at the rate, per second, for the length, and returns the median time to the answer.
+func sendBookings(ctx context.Context, site *twsite.Site, example twexample.Example, rate float64, length time.Duration) (time.Duration, error) {
 	count := int(rate * length.Seconds())
 	times := make(chan time.Duration, count)
 	errs := make(chan error, count)
@@ -159,8 +163,8 @@
 	return all[len(all)/2], nil
 }
 
-// waiting holds calls open that may wait for a place, and weighs the process.
-func (m *Measure) waiting(ctx context.Context) error {
+// waiting measures the memory of the process while growing numbers of deferrable calls wait for a placement.
+func (m *Measure) measureWaiting(ctx context.Context) error {
 	example := twexample.Arriola()
 	memory := &series{name: "heap and stacks of callers, daemons and engines", unit: "MB"}
 	for _, n := range []int{1000, 2000, 4000, 8000} {
@@ -171,22 +175,22 @@
 		if err != nil {
 			return err
 		}
-		before := heap()
+		before := liveMemoryBytes()
 		inner, cancel := context.WithCancel(ctx)
-		ends := make(chan struct{})
+		done := make(chan struct{})
 		for i := range n {
 			// The account's limit is 2,000 calls a second.
 			time.Sleep(time.Millisecond)
 			go func() {
-				_, _ = complete(inner, site.CallerAddresses()[i%4], example, "dossier", completionOf(example, "wait", 20_000))
-				ends <- struct{}{}
+				_, _ = readCompletion(inner, site.CallerAddresses()[i%4], example, "dossier", streamedCompletion(example, "wait", 20_000))
+				done <- struct{}{}
 			}()
 		}
 		err = awaitInFlight(ctx, site, n)
-		memory.add(float64(n), (heap()-before)/megabyte)
+		memory.add(float64(n), (liveMemoryBytes()-before)/megabyte)
 		cancel()
 		for range n {
-			<-ends
+			<-done
 		}
 		if closeErr := site.Close(); err == nil {
 			err = closeErr
@@ -195,19 +199,20 @@
 			return err
 		}
 	}
-	return m.report("waiting: calls that wait for a place; callers, daemons and engines share the process", "calls", memory)
+	return m.printSeries("waiting: calls that wait for a place; callers, daemons and engines share the process", "calls", memory)
 }
 
-type load struct {
+type inFlightStatus struct {
 	InFlight int `json:"inFlight"`
 }
 
+// awaitInFlight waits until the daemons have n calls in flight, and returns an error after holdTimeout.
 func awaitInFlight(ctx context.Context, site *twsite.Site, n int) error {
-	deadline := time.Now().Add(callTimeout)
+	deadline := time.Now().Add(holdTimeout)
 	for time.Now().Before(deadline) {
 		all := 0
 		for _, address := range site.OperatorAddresses() {
-			var l load
+			var l inFlightStatus
 			_ = twcaller.New(http.DefaultClient, "").ReadJSON(ctx, "http://"+address+"/status", &l)
 			all += l.InFlight
 		}
@@ -218,11 +223,12 @@
 			return err
 		}
 	}
-	return fmt.Errorf("the daemons do not hold %d calls after %s", n, callTimeout)
+	return fmt.Errorf("the daemons have fewer than %d calls in flight after %s", n, holdTimeout)
 }
 
+// awaitHeld waits until the engines hold nine tenths of n attempts, and returns an error after holdTimeout.
 func awaitHeld(ctx context.Context, site *twsite.Site, n int) error {
-	deadline := time.Now().Add(callTimeout)
+	deadline := time.Now().Add(holdTimeout)
 	for time.Now().Before(deadline) {
 		held := 0
 		for _, e := range site.Engines() {
@@ -235,11 +241,11 @@
 			return err
 		}
 	}
-	return fmt.Errorf("the engines do not hold %d attempts after %s", n, callTimeout)
+	return fmt.Errorf("the engines hold less than 9/10 of %d attempts after %s", n, holdTimeout)
 }
 
-// overhead compares the time of one small request through the router with what its engines need alone.
-func (m *Measure) overhead(ctx context.Context) error {
+// overhead measures the time of small requests through the router, to compare with what their engines need alone.
+func (m *Measure) measureOverhead(ctx context.Context) error {
 	example := twexample.Arriola()
 	site, err := twsite.New(ctx, twsite.Config{
 		Example: example, Daemons: 2, Prefill: 1, Decode: 1, Policy: policy, Log: io.Discard,
@@ -253,7 +259,7 @@
 	used := processorTime()
 	for i := range requests {
 		start := time.Now()
-		if _, err := stream(ctx, site.CallerAddresses()[i%2], example, "a small question", tokens); err != nil {
+		if _, err := streamCompletion(ctx, site.CallerAddresses()[i%2], example, "a small question", tokens); err != nil {
 			return err
 		}
 		all = append(all, time.Since(start))
@@ -266,15 +272,17 @@
 	return site.Close()
 }
 
-func completionOf(example twexample.Example, prompt string, tokens int) twcaller.Completion {
+func streamedCompletion(example twexample.Example, prompt string, tokens int) twcaller.Completion {
 	return twcaller.Completion{Model: example.Model(), Prompt: prompt, MaxTokens: tokens, Stream: true}
 }
 
-func stream(ctx context.Context, address string, example twexample.Example, prompt string, tokens int) ([]byte, error) {
-	return complete(ctx, address, example, "counter", completionOf(example, prompt, tokens))
+func streamCompletion(ctx context.Context, address string, example twexample.Example, prompt string, tokens int) ([]byte, error) {
+	return readCompletion(ctx, address, example, "counter", streamedCompletion(example, prompt, tokens))
 }
 
-func complete(ctx context.Context, address string, example twexample.Example, work string, body twcaller.Completion) ([]byte, error) {
+// readCompletion sends a completion of the kind of work and reads the answer to its end; a status other than 200 is an
+// error.
+func readCompletion(ctx context.Context, address string, example twexample.Example, work string, body twcaller.Completion) ([]byte, error) {
 	response, err := twcaller.New(http.DefaultClient, example.Key()).Call(ctx, http.MethodPost, "http://"+address+"/v1/completions",
 		http.Header{"X-Work": {work}}, body)
 	if err != nil {
@@ -282,7 +290,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("status %d", response.StatusCode)
+		return nil, fmt.Errorf("completion not answered: status %d", response.StatusCode)
 	}
 	return io.ReadAll(response.Body)
 }
