--- a/turmericwallstand/internal/twmeasure/control.go
+++ b/turmericwallstand/internal/twmeasure/control.go
@@ -14,7 +14,7 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twsite"
 )
 
-// members measures idle daemons, which exchange heartbeats and poll the platform.
+// measureMembers measures idle daemons, which exchange heartbeats and poll the platform.
 func (m *Measure) measureMembers(ctx context.Context) error {
 	peers := &series{name: "peer traffic of a daemon, in and out", unit: "KB/s"}
 	messages := &series{name: "peer messages", unit: "1/s"}
@@ -50,7 +50,7 @@
 // longAnswerTokens is the length of an answer that holds a decode slot for more than a minute.
 const longAnswerTokens = 2000
 
-// engines measures a leader whose decode engines are full.
+// measureEngines measures a leader whose decode engines are full.
 func (m *Measure) measureEngines(ctx context.Context) error {
 	const slots = 20
 	reports := &series{name: "reports and events read by the leader", unit: "KB/s"}
@@ -84,8 +84,8 @@
 	return m.printSeries("engines: one leader, three quarters of them decode, each with 20 attempts", "engines", reports, calls, steps)
 }
 
-// placements measures the peer traffic of a placement with prompts of growing length. Two thirds of the requests go
-// through daemons that are not the leader.
+// measurePlacements measures the peer traffic of a placement with prompts of growing length. Two thirds of the
+// requests go through daemons that are not the leader.
 func (m *Measure) measurePlacements(ctx context.Context) error {
 	const requests = 100
 	traffic := &series{name: "peer traffic of a placement, its ending included", unit: "bytes"}
@@ -173,7 +173,7 @@
 	processor                    time.Duration
 }
 
-// watch waits until the site has settled, and returns what its daemons count during the length of a point.
+// countTraffic waits until the site has settled, and returns what its daemons count during the length of a point.
 func (m *Measure) countTraffic(ctx context.Context, site *twsite.Site) (totals, error) {
 	if err := sleep(ctx, settleTime); err != nil {
 		return totals{}, err
--- a/turmericwallstand/internal/twmeasure/measure.go
+++ b/turmericwallstand/internal/twmeasure/measure.go
@@ -63,7 +63,8 @@
 	s.y = append(s.y, y)
 }
 
-// report prints the points of the series as a table, with the fitted line of each and its coefficient of determination.
+// printSeries prints the points of the series as a table, with the fitted line of each and its coefficient of
+// determination.
 func (m *Measure) printSeries(title, x string, all ...*series) error {
 	table := tabwriter.NewWriter(m.config.Output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "%s\n", title)
--- a/turmericwallstand/internal/twmeasure/parts.go
+++ b/turmericwallstand/internal/twmeasure/parts.go
@@ -24,11 +24,12 @@
 	parseRepetitions = 20
 	kilobyte         = 1000.0
 	megabyte         = 1e6
-	maxAccounts      = 500
-	holdTimeout      = 30 * time.Second
+	// maxAccounts is the number of accounts that the router is designed for.
+	maxAccounts = 500
+	holdTimeout = 30 * time.Second
 )
 
-// document measures how long a document takes to parse, and to come into force at six daemons after its apply.
+// measureDocument measures how long a document takes to parse, and to come into force at six daemons after its apply.
 func (m *Measure) measureDocument(ctx context.Context) error {
 	parse := &series{name: "parse and check", unit: "ms"}
 	inForceTime := &series{name: "in force at six daemons, after apply", unit: "ms"}
@@ -60,7 +61,7 @@
 		`"firstTokenMillis":1200,"tokenGapMillis":54,"worth":1}],"accounts":[%s]}`, strings.Join(accounts, ",\n"))
 }
 
-// inForce applies a second revision and returns the time until every daemon has it in force.
+// measurePropagation applies a second revision and returns the time until every daemon has it in force.
 func (m *Measure) measurePropagation(ctx context.Context, source []byte) (time.Duration, error) {
 	const daemons = 6
 	site, err := twsite.New(ctx, twsite.Config{Example: twexample.Arriola(), Daemons: daemons, Policy: policy, Log: io.Discard})
@@ -94,8 +95,8 @@
 	return r.Revision
 }
 
-// claims sends non-idempotent calls at growing rates, and measures the platform's transactions and the time to the
-// answer.
+// measureClaims sends non-idempotent calls at growing rates, and measures the platform's transactions and the time to
+// the answer.
 func (m *Measure) measureClaims(ctx context.Context) error {
 	example := twexample.Arriola()
 	writes := &series{name: "rows written", unit: "1/s"}
@@ -163,7 +164,7 @@
 	return all[len(all)/2], nil
 }
 
-// waiting measures the memory of the process while growing numbers of deferrable calls wait for a placement.
+// measureWaiting measures the memory of the process while growing numbers of deferrable calls wait for a placement.
 func (m *Measure) measureWaiting(ctx context.Context) error {
 	example := twexample.Arriola()
 	memory := &series{name: "heap and stacks of callers, daemons and engines", unit: "MB"}
@@ -244,7 +245,8 @@
 	return fmt.Errorf("the engines hold less than 9/10 of %d attempts after %s", n, holdTimeout)
 }
 
-// overhead measures the time of small requests through the router, to compare with what their engines need alone.
+// measureOverhead measures the time of small requests through the router, to compare with what their engines need
+// alone.
 func (m *Measure) measureOverhead(ctx context.Context) error {
 	example := twexample.Arriola()
 	site, err := twsite.New(ctx, twsite.Config{
