--- a/turmericwallstand/internal/twcompare/fault.go
+++ b/turmericwallstand/internal/twcompare/fault.go
@@ -11,7 +11,7 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twsite"
 )
 
-// Faults that can be put in the middle of a run.
+// Faults that can be injected in the middle of a run.
 const (
 	FaultNone         = ""
 	FaultEngineKilled = "engineKilled"
@@ -23,13 +23,14 @@
 )
 
 const (
-	zones       = 3
-	cancelEvery = 3
-	slowLink    = 0.1
+	zones          = 3
+	cancelEveryNth = 3
+	slowLinkFactor = 0.1
 )
 
-// disturb puts the fault in the middle of the run.
-func (c *Compare) disturb(ctx context.Context, site *twsite.Site, load *twload.Load) error {
+// injectFault injects the fault in the middle of the run. The store recovers when the arrivals end; killed engines and
+// daemons and slow links do not recover.
+func (c *Compare) injectFault(ctx context.Context, site *twsite.Site, load *twload.Load) error {
 	if c.config.Fault == FaultNone {
 		return nil
 	}
@@ -42,24 +43,24 @@
 	}
 	switch c.config.Fault {
 	case FaultEngineKilled:
-		site.KillEngine(prefill)
+		site.KillEngine(prefillEngines)
 	case FaultZoneCut:
-		for i := 0; i < prefill+decode; i += zones {
+		for i := 0; i < prefillEngines+decodeEngines; i += zones {
 			site.KillEngine(i)
 		}
 	case FaultStoreDown:
 		site.SetPlatformFaults(twplatformstand.Faults{Outage: true})
 		time.AfterFunc(c.config.Length/2, func() { site.SetPlatformFaults(twplatformstand.Faults{}) })
 	case FaultCancels:
-		load.CancelEveryNth(cancelEvery)
+		load.CancelEveryNth(cancelEveryNth)
 	case FaultSlowLinks:
-		for _, e := range site.Engines()[:prefill] {
-			e.SetFaults(twenginestand.Faults{LinkFactor: slowLink})
+		for _, e := range site.Engines()[:prefillEngines] {
+			e.SetFaults(twenginestand.Faults{LinkFactor: slowLinkFactor})
 		}
 	case FaultDaemonKilled:
 		site.KillLeader()
 	default:
-		return fmt.Errorf("no fault %q", c.config.Fault)
+		return fmt.Errorf("unknown fault %q", c.config.Fault)
 	}
 	return nil
 }
--- a/turmericwallstand/internal/twcompare/picture.go
+++ b/turmericwallstand/internal/twcompare/picture.go
@@ -14,8 +14,9 @@
 	pictureHeight = 10 * vg.Centimeter
 )
 
-// draw writes the goodput, as a share of what was offered, against the level of load.
-func draw(path, deployment string, rows []row) error {
+// drawGoodput writes a plot of the goodput of each policy, as a share of the offered requests, against the level of
+// load.
+func drawGoodput(path, deployment string, rows []row) error {
 	p := plot.New()
 	p.Title.Text = "Goodput within both targets, " + deployment
 	p.X.Label.Text = "offered load, times capacity"
@@ -35,10 +36,10 @@
 		series = append(series, policy, lines[policy])
 	}
 	if err := plotutil.AddLinePoints(p, series...); err != nil {
-		return fmt.Errorf("draw the policies: %w", err)
+		return fmt.Errorf("plot the policies: %w", err)
 	}
 	if err := p.Save(pictureWidth, pictureHeight, path); err != nil {
-		return fmt.Errorf("write the picture, check the folder: %w", err)
+		return fmt.Errorf("write the picture, check --folder: %w", err)
 	}
 	return nil
 }
