--- a/turmericwallstand/main.go
+++ b/turmericwallstand/main.go
@@ -1,4 +1,4 @@
-// Command turmericwallstand runs stand-ins of the systems around the router, and loads and measures it.
+// Command turmericwallstand simulates the systems around the router, and loads and measures the router with them.
 package main
 
 import (
