--- a/turmericwallstand/e2e/answers_test.go
+++ b/turmericwallstand/e2e/answers_test.go
@@ -22,34 +22,33 @@
 		s = newSite(twexample.Arriola(), size{prefill: 2, decode: 2, daemons: 2})
 	})
 
-	expectWhole := func(r reply, tokens int) {
+	expectComplete := func(r reply, tokens int) {
 		GinkgoHelper()
 		Expect(r.err).NotTo(HaveOccurred())
-		Expect(r.whole).To(BeTrue())
+		Expect(r.complete).To(BeTrue())
 		Expect(r.text).To(Equal(twenginestand.Answer(prompt, tokens)))
 	}
 
-	// The engine sends each chunk twice, pairs in the wrong order, and chunks of somebody else's
-	// answer with a finish reason. The caller sees its own tokens, each once and in order.
-	It("are put together from doubled, swapped and foreign chunks", func(ctx SpecContext) {
+	// Guards against tokens that are lost, repeated or foreign: the engines send each chunk twice, swap pairs, and
+	// add chunks of another attempt with a finish reason. The caller receives its own tokens, each once and in order.
+	It("are assembled correctly from duplicated, swapped and foreign chunks", func(ctx SpecContext) {
 		for _, p := range s.decode {
-			control(p.address, "faults", twenginestand.Faults{DuplicateChunks: true, SwapChunks: true, ForeignChunks: true})
+			postControl(p.address, "faults", twenginestand.Faults{DuplicateChunks: true, SwapChunks: true, ForeignChunks: true})
 		}
-		expectWhole(s.stream(ctx, s.daemons[0], prompt, 40), 40)
+		expectComplete(s.stream(ctx, s.daemons[0], prompt, 40), 40)
 	})
 
-	// Each decode engine breaks every stream off after ten tokens. The daemon resumes on the other
-	// one, and then on the first again, from the prompt and the tokens already delivered.
-	It("are resumed where they broke off", func(ctx SpecContext) {
+	// Each decode engine breaks every stream after ten tokens. The daemon resumes on the other engine, and then on the
+	// first again, from the prompt and the tokens already delivered.
+	It("are resumed where their stream was cut short", func(ctx SpecContext) {
 		for _, p := range s.decode {
-			control(p.address, "faults", twenginestand.Faults{BreakAfterTokens: 10})
+			postControl(p.address, "faults", twenginestand.Faults{BreakAfterTokens: 10})
 		}
-		expectWhole(s.stream(ctx, s.daemons[0], prompt, 25), 25)
+		expectComplete(s.stream(ctx, s.daemons[0], prompt, 25), 25)
 	})
 
-	// A decode engine dies in the middle of several answers at once. Each caller gets its whole
-	// answer from the other engine.
-	It("survive the death of a decode engine", func(ctx SpecContext) {
+	// A decode engine is killed during several answers. Each caller receives its complete answer from the other engine.
+	It("are complete although a decode engine is killed", func(ctx SpecContext) {
 		const callers = 6
 		replies := make(chan reply, callers)
 		for i := range callers {
@@ -68,31 +67,31 @@
 		for range callers {
 			var r reply
 			Eventually(replies).WithTimeout(callTimeout).Should(Receive(&r))
-			expectWhole(r, 80)
+			expectComplete(r, 80)
 		}
 	})
 
-	// All open connections of a decode engine go silent for good, while new ones work: something
-	// between the two ends has lost track of them. The stream shows no progress, is given up, and
-	// goes on over a new connection.
-	It("survive connections that go silent", func(ctx SpecContext) {
+	// All open connections of the engines become unresponsive for good while new ones work, as when a device in the
+	// network loses its connection table. The stream makes no progress, is aborted, and is resumed over a new
+	// connection.
+	It("are complete although open connections become unresponsive", func(ctx SpecContext) {
 		replies := make(chan reply, 1)
 		go func() { replies <- s.stream(ctx, s.daemons[0], prompt, 80) }()
-		Eventually(s.held).ShouldNot(BeEmpty())
+		Eventually(s.heldAttempts).ShouldNot(BeEmpty())
 		for _, p := range append(s.prefill, s.decode...) {
-			control(p.address, "faults", twenginestand.Faults{StallOpenConnections: true})
+			postControl(p.address, "faults", twenginestand.Faults{StallOpenConnections: true})
 		}
 		var r reply
 		Eventually(replies).WithTimeout(callTimeout).Should(Receive(&r))
-		expectWhole(r, 80)
+		expectComplete(r, 80)
 	})
 
-	// The transfers out of one prefill engine hang. The daemon gives up on it and computes the prompt
-	// on the other one; the answer is late, but whole.
-	It("survive a stalled transfer", func(ctx SpecContext) {
-		control(s.prefill[0].address, "faults", twenginestand.Faults{StallTransfers: true})
+	// The transfers out of one prefill engine stall. After its timeout the daemon repeats the prefill on the other
+	// engine; the answer is late, but complete.
+	It("are complete although a transfer stalls", func(ctx SpecContext) {
+		postControl(s.prefill[0].address, "faults", twenginestand.Faults{StallTransfers: true})
 		for range 2 {
-			expectWhole(s.stream(ctx, s.daemons[0], prompt, 10), 10)
+			expectComplete(s.stream(ctx, s.daemons[0], prompt, 10), 10)
 		}
 	})
 })
@@ -106,8 +105,8 @@
 		prompt = strings.Repeat("tasting note ", 100)
 	})
 
-	// answered counts the answers that daemons wrote, by their logs.
-	answered := func() int {
+	// countAnswers returns the number of answers that the daemons wrote, according to their logs.
+	countAnswers := func() int {
 		count := 0
 		for _, d := range s.daemons {
 			count += strings.Count(string(d.session.Out.Contents()), `"event":5003`)
@@ -123,45 +122,45 @@
 		Expect(s.fetch(ctx, d, location).body).To(Equal(r.body))
 	}
 
-	// The daemon that works on a dossier dies. Another takes the lease over once the owner counts as
-	// lost, and the answer is there for whoever asks.
-	It("arrive although their owner dies", func(ctx SpecContext) {
+	// The daemon that holds a dossier's lease is killed. Another takes the lease over once the owner counts as lost,
+	// and the answer can be fetched at any daemon.
+	It("are written although their owner is killed", func(ctx SpecContext) {
 		accepted := s.submit(ctx, s.daemons[0], "k", prompt, 150)
 		Expect(accepted.status).To(Equal(http.StatusAccepted))
 		s.daemons[0].kill()
 		expectAnswer(ctx, s.daemons[1], accepted.header.Get("Location"), 150)
-		Expect(answered()).To(Equal(1))
+		Expect(countAnswers()).To(Equal(1))
 	})
 
-	// The owner is frozen past its lease, another daemon answers, and the owner wakes up with an
-	// answer of its own. Its write fails on the version of the lease: one answer stands, unchanged.
-	It("are written once although a frozen owner wakes up", func(ctx SpecContext) {
+	// Guards against a second answer: the owner is suspended past its lease, another daemon answers, and the owner
+	// resumes with an answer of its own. Its write fails on the lease's version, and the first answer stays unchanged.
+	It("are written once although a suspended owner resumes", func(ctx SpecContext) {
 		accepted := s.submit(ctx, s.daemons[0], "k", prompt, 150)
 		location := accepted.header.Get("Location")
-		Eventually(s.held).ShouldNot(BeEmpty())
+		Eventually(s.heldAttempts).ShouldNot(BeEmpty())
 		s.daemons[0].signal(syscall.SIGSTOP)
 		expectAnswer(ctx, s.daemons[1], location, 150)
 		before := s.fetch(ctx, s.daemons[1], location).body
 		s.daemons[0].signal(syscall.SIGCONT)
 		Eventually(func() int { return s.daemons[0].status().Deferrable }).WithTimeout(30 * time.Second).Should(BeZero())
 		Expect(s.fetch(ctx, s.daemons[0], location).body).To(Equal(before))
-		Expect(answered()).To(Equal(1))
+		Expect(countAnswers()).To(Equal(1))
 	})
 
-	// The store takes the new entry in, but its answer is lost. The daemon settles by reading back:
-	// the caller gets 202, and there is one entry. The same key again names the same request.
+	// The store commits the new entry, but its answer is lost. The daemon reads the entry back: the caller receives
+	// 202, and there is one entry. A second request with the same key gets the same location.
 	It("are accepted once although the store's answer is lost", func(ctx SpecContext) {
-		control(s.platform.address, "faults", twplatformstand.Faults{LoseAnswers: 1})
+		postControl(s.platform.address, "faults", twplatformstand.Faults{LoseAnswers: 1})
 		accepted := s.submit(ctx, s.daemons[0], "k", prompt, 20)
 		Expect(accepted.status).To(Equal(http.StatusAccepted))
 		again := s.submit(ctx, s.daemons[1], "k", prompt, 20)
 		Expect(again.header.Get("Location")).To(Equal(accepted.header.Get("Location")))
 		expectAnswer(ctx, s.daemons[2], accepted.header.Get("Location"), 20)
-		Expect(answered()).To(Equal(1))
+		Expect(countAnswers()).To(Equal(1))
 	})
 
-	// All daemons are replaced at once while dossiers are open. None goes missing.
-	It("arrive although every VM is replaced", func(ctx SpecContext) {
+	// All daemons are replaced at once while dossiers are open. None of the dossiers is lost.
+	It("are written although every VM is replaced", func(ctx SpecContext) {
 		var locations []string
 		for _, key := range []string{"a", "b", "c", "d"} {
 			locations = append(locations, s.submit(ctx, s.daemons[0], key, prompt, 100).header.Get("Location"))
@@ -169,7 +168,7 @@
 		for _, d := range s.daemons {
 			d.kill()
 		}
-		fresh := s.daemon("entry-9", 0)
+		fresh := s.startDaemon("entry-9", 0)
 		s.daemons = append(s.daemons, fresh)
 		s.replaceDaemons(fresh)
 		s.awaitReady(fresh)
@@ -178,28 +177,28 @@
 		}
 	})
 
-	// The store is down when a dossier comes in: it is refused as not run, and not accepted in
-	// secret. While the store is down an accepted one goes on, and its answer is written afterwards.
-	It("survive an outage of the store", func(ctx SpecContext) {
+	// A dossier that arrives while the store is unavailable is refused as not run. One that was accepted before
+	// continues, and its answer is written once the store has recovered.
+	It("are written although the store is unavailable for a while", func(ctx SpecContext) {
 		accepted := s.submit(ctx, s.daemons[0], "k", prompt, 60)
 		Expect(accepted.status).To(Equal(http.StatusAccepted))
-		control(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
+		postControl(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
 		refused := s.submit(ctx, s.daemons[1], "k2", prompt, 20)
 		Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(refused.problem.Outcome).To(Equal("notRun"))
-		control(s.platform.address, "faults", twplatformstand.Faults{})
+		postControl(s.platform.address, "faults", twplatformstand.Faults{})
 		expectAnswer(ctx, s.daemons[2], accepted.header.Get("Location"), 60)
-		Expect(answered()).To(Equal(1))
+		Expect(countAnswers()).To(Equal(1))
 	})
 
-	// A caller cancels its dossier at another daemon than the one that works on it. The work ends, the
-	// engines' memory is free, and there is no answer.
-	It("are cancelled at any daemon", func(ctx SpecContext) {
+	// A caller cancels its dossier at a daemon that is not its owner. The attempt ends, the engines' memory is freed,
+	// and no answer is written.
+	It("can be cancelled at any daemon", func(ctx SpecContext) {
 		accepted := s.submit(ctx, s.daemons[0], "k", prompt, 600)
 		location := accepted.header.Get("Location")
-		Eventually(s.held).ShouldNot(BeEmpty())
+		Eventually(s.heldAttempts).ShouldNot(BeEmpty())
 		Expect(s.call(ctx, s.daemons[1], http.MethodDelete, location, nil, nil).status).To(Equal(http.StatusNoContent))
 		Expect(s.fetch(ctx, s.daemons[2], location).status).To(Equal(http.StatusGone))
-		Eventually(s.held).WithTimeout(10 * time.Second).Should(BeEmpty())
+		Eventually(s.heldAttempts).WithTimeout(10 * time.Second).Should(BeEmpty())
 	})
 })
--- a/turmericwallstand/e2e/calls_test.go
+++ b/turmericwallstand/e2e/calls_test.go
@@ -14,15 +14,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// reply is what a caller got.
+// reply is the answer that a caller received; complete is set when it arrived to its end.
 type reply struct {
-	err     error
-	status  int
-	header  http.Header
-	body    string
-	text    string
-	whole   bool
-	problem problem
+	err      error
+	status   int
+	header   http.Header
+	body     string
+	text     string
+	complete bool
+	problem  problem
 }
 
 type problem struct {
@@ -48,7 +48,7 @@
 
 const callTimeout = 40 * time.Second
 
-// call makes one call; it never fails the test, since failures are what many tests look at.
+// call sends one call. A failed call does not fail the test but is returned, because many tests expect failures.
 func (s *site) call(ctx context.Context, d *daemon, method, path string, header http.Header, body any) reply {
 	encoded, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
@@ -77,11 +77,12 @@
 	_ = json.Unmarshal(content, &r.problem)
 	var a answer
 	if json.Unmarshal(content, &a) == nil && len(a.Choices) > 0 {
-		r.text, r.whole = a.Choices[0].Text, a.Choices[0].Finish != ""
+		r.text, r.complete = a.Choices[0].Text, a.Choices[0].Finish != ""
 	}
 	return r
 }
 
+// readStream reads the stream to its end, collects its text, and takes over a problem that it ends with.
 func (r *reply) readStream(stream io.Reader) {
 	scanner := bufio.NewScanner(stream)
 	for scanner.Scan() {
@@ -90,7 +91,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.whole = true
+			r.complete = true
 			continue
 		}
 		var a answer
@@ -103,39 +104,39 @@
 	r.err = scanner.Err()
 }
 
-// stream asks for a streamed completion.
+// stream requests a streamed completion.
 func (s *site) stream(ctx context.Context, d *daemon, prompt string, tokens int) reply {
 	return s.call(ctx, d, http.MethodPost, "/v1/completions", nil, completion{Model: s.example.Model(), Prompt: prompt, MaxTokens: tokens, Stream: true})
 }
 
-// submit hands in work that may wait.
+// submit submits a deferrable completion.
 func (s *site) submit(ctx context.Context, d *daemon, key, prompt string, tokens int) reply {
 	header := http.Header{"Prefer": {"respond-async"}, "X-Work": {"dossier"}, "Idempotency-Key": {key}}
 	return s.call(ctx, d, http.MethodPost, "/v1/completions", header, completion{Model: s.example.Model(), Prompt: prompt, MaxTokens: tokens})
 }
 
-// fetch asks for a deferred answer.
+// fetch requests a deferred answer once.
 func (s *site) fetch(ctx context.Context, d *daemon, location string) reply {
 	return s.call(ctx, d, http.MethodGet, location, nil, nil)
 }
 
-// book makes a booking, which may not be repeated.
+// book makes a booking, which must not be repeated.
 func (s *site) book(ctx context.Context, d *daemon, key, table string) reply {
 	return s.call(ctx, d, http.MethodPost, "/services/agenda-desk/bookings", http.Header{"Idempotency-Key": {key}}, map[string]string{"table": table})
 }
 
-type act struct {
+type executedCall struct {
 	Path string `json:"path"`
 	Key  string `json:"key"`
 	Body string `json:"body"`
 }
 
-// acts returns what all plain services did under the key.
-func (s *site) acts(key string) []act {
+// executedCalls returns the calls with the key that all plain services executed.
+func (s *site) executedCalls(key string) []executedCall {
 	GinkgoHelper()
-	var found []act
+	var found []executedCall
 	for _, p := range s.services {
-		var all []act
+		var all []executedCall
 		getJSON("http://"+p.address+"/control/acts", &all)
 		for _, a := range all {
 			if a.Key == key {
@@ -161,11 +162,11 @@
 	return stats
 }
 
-// held returns what all engines hold memory for.
-func (s *site) held() []string {
-	var held []string
+// heldAttempts returns the attempts for which any engine holds memory.
+func (s *site) heldAttempts() []string {
+	var heldAttempts []string
 	for _, p := range append(append([]*process{}, s.prefill...), s.decode...) {
-		held = append(held, p.stats().Held...)
+		heldAttempts = append(heldAttempts, p.stats().Held...)
 	}
-	return held
+	return heldAttempts
 }
--- a/turmericwallstand/e2e/control_test.go
+++ b/turmericwallstand/e2e/control_test.go
@@ -15,8 +15,8 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twexample"
 )
 
-// operate runs the operators' command line and returns its exit code and output.
-func operate(arguments ...string) (int, string) {
+// runControl runs turmericwallctl and returns its exit code and its output, standard error last.
+func runControl(arguments ...string) (int, string) {
 	GinkgoHelper()
 	session, err := gexec.Start(exec.Command(controlProgram, arguments...), GinkgoWriter, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
@@ -37,76 +37,76 @@
 
 	operations := func() string { return s.daemons[0].operations + "," + s.daemons[1].operations }
 
-	in := func(environment string, arguments ...string) (int, string) {
-		return operate(append(arguments, "--platform", platform, "--environment", environment)...)
+	runIn := func(environment string, arguments ...string) (int, string) {
+		return runControl(append(arguments, "--platform", platform, "--environment", environment)...)
 	}
 
-	// A document goes from check to trial, is proved there under work, and is promoted unchanged. The
-	// second of two operators is told so by exit code 3.
+	// A document is checked, applied, proved with requests, and promoted byte for byte. An operator whose base revision
+	// is outdated gets exit code 3.
 	It("takes a document from trial to production", func(ctx SpecContext) {
-		code, out := operate("check", document)
+		code, out := runControl("check", document)
 		Expect(code).To(BeZero(), out)
-		code, _ = in("production", "diff", document)
+		code, _ = runIn("production", "diff", document)
 		Expect(code).To(BeZero())
 		changed := strings.Replace(string(s.example.Document()), `"worth": 5`, `"worth": 6`, 1)
 		Expect(os.WriteFile(document, []byte(changed), 0o600)).To(Succeed())
-		code, out = in("production", "diff", document)
+		code, out = runIn("production", "diff", document)
 		Expect(code).To(Equal(4))
 		Expect(out).To(And(ContainSubstring(`- `), ContainSubstring(`+ `), ContainSubstring(`"worth": 6`)))
-		code, out = in("production", "apply", document, "--base", "1")
+		code, out = runIn("production", "apply", document, "--base", "1")
 		Expect(code).To(BeZero(), out)
-		code, _ = in("production", "apply", document, "--base", "0")
+		code, _ = runIn("production", "apply", document, "--base", "0")
 		Expect(code).To(Equal(3))
-		code, _ = in("production", "prove", "--daemons", operations())
-		Expect(code).To(Equal(4), "a document that nobody used yet is not proved")
+		code, _ = runIn("production", "prove", "--daemons", operations())
+		Expect(code).To(Equal(4), "a document under which no request was answered can't be proved")
 		Eventually(func() []int64 {
 			return []int64{s.daemons[0].status().Revision, s.daemons[1].status().Revision}
 		}).Should(HaveEach(int64(2)))
-		Expect(s.stream(ctx, s.daemons[0], "p", 3).whole).To(BeTrue())
-		code, out = in("production", "prove", "--daemons", operations())
+		Expect(s.stream(ctx, s.daemons[0], "p", 3).complete).To(BeTrue())
+		code, out = runIn("production", "prove", "--daemons", operations())
 		Expect(code).To(BeZero(), out)
-		code, out = operate("promote", "--platform", platform, "--from", "production", "--to", "copy", "--base", "0")
+		code, out = runControl("promote", "--platform", platform, "--from", "production", "--to", "copy", "--base", "0")
 		Expect(code).To(BeZero(), out)
-		_, first := in("production", "--json", "history")
-		_, second := in("copy", "--json", "history")
+		_, first := runIn("production", "--json", "history")
+		_, second := runIn("copy", "--json", "history")
 		Expect(sources(first)[0]).To(Equal(sources(second)[0]))
 	})
 
-	It("refuses a document that is wrong, with exit code 2", func() {
+	It("rejects an invalid document with exit code 2", func() {
 		Expect(os.WriteFile(document, []byte(`{"services": [], "wrok": []}`), 0o600)).To(Succeed())
-		code, out := in("production", "apply", document, "--base", "1")
+		code, out := runIn("production", "apply", document, "--base", "1")
 		Expect(code).To(Equal(2))
 		Expect(out).To(And(ContainSubstring("document.jsonc: line 1"), ContainSubstring("wrok")))
 	})
 
-	// An operator looks at the fleet, at one request, and drains a daemon.
+	// An operator reads the status of all daemons and the trace of one request, and drains a daemon.
 	It("shows status, explains a request, and drains", func(ctx SpecContext) {
 		Eventually(func() int {
-			code, _ := operate("status", "--daemons", operations())
+			code, _ := runControl("status", "--daemons", operations())
 			return code
 		}).Should(BeZero())
 		r := s.stream(ctx, s.daemons[0], "p", 3)
-		code, out := operate("explain", "--daemons", operations(), r.header.Get("X-Request-Id"))
+		code, out := runControl("explain", "--daemons", operations(), r.header.Get("X-Request-Id"))
 		Expect(code).To(BeZero())
 		Expect(out).To(And(ContainSubstring("Request accepted"), ContainSubstring("Placement granted"), ContainSubstring("decode-0")))
-		code, _ = operate("explain", "--daemons", operations(), "none")
+		code, _ = runControl("explain", "--daemons", operations(), "none")
 		Expect(code).To(Equal(4))
-		code, _ = operate("drain", s.daemons[0].operations)
+		code, _ = runControl("drain", s.daemons[0].operations)
 		Expect(code).To(BeZero())
 		Eventually(s.daemons[0].session).WithTimeout(20 * time.Second).Should(gexec.Exit(0))
-		code, out = operate("status", "--daemons", operations())
+		code, out = runControl("status", "--daemons", operations())
 		Expect(code).To(Equal(4))
 		Expect(out).To(ContainSubstring("unreachable"))
 	})
 
-	It("refuses wrong flags with exit code 2", func() {
-		code, _ := operate("apply")
+	It("rejects invalid flags with exit code 2", func() {
+		code, _ := runControl("apply")
 		Expect(code).To(Equal(2))
 	})
 })
 
 var _ = Describe("the daemon's command line", func() {
-	It("checks settings and exits with code 2 when they are wrong", func() {
+	It("exits with code 2 when settings are invalid", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "settings.jsonc")
 		Expect(os.WriteFile(path, []byte(`{"name": "x", "zome": "y"}`), 0o600)).To(Succeed())
 		session, err := gexec.Start(exec.Command(daemonProgram, "check", "--settings", path), nil, GinkgoWriter)
@@ -116,7 +116,7 @@
 	})
 })
 
-// sources returns the documents of a history in JSON, newest first.
+// sources returns the documents in the JSON output of history, newest first.
 func sources(history string) []string {
 	GinkgoHelper()
 	var entries []struct {
--- a/turmericwallstand/e2e/once_test.go
+++ b/turmericwallstand/e2e/once_test.go
@@ -24,13 +24,13 @@
 	serviceFaults := func(faults twservicestand.Faults) {
 		GinkgoHelper()
 		for _, p := range s.services {
-			control(p.address, "faults", faults)
+			postControl(p.address, "faults", faults)
 		}
 	}
 
-	// An impatient client sends the same booking to three daemons at once. One of them claims the
-	// key; the others find the claim and say that it is under way, or repeat its answer.
-	It("run once when three daemons get the key at the same time", func(ctx SpecContext) {
+	// A client sends the same booking to three daemons at once. One of them claims the key; the others find the claim
+	// and report that the call is still running, or replay its answer.
+	It("run once when three daemons receive the key at the same time", func(ctx SpecContext) {
 		serviceFaults(twservicestand.Faults{LatencyMillis: 200})
 		for round := range 5 {
 			key := fmt.Sprintf("key-%d", round)
@@ -48,28 +48,28 @@
 				Expect(r.problem.Kind).To(Equal("stillRunning"))
 			}
 			Expect(answered).To(BeNumerically(">=", 1))
-			Expect(s.acts(key)).To(HaveLen(1))
+			Expect(s.executedCalls(key)).To(HaveLen(1))
 		}
 	})
 
-	// The service reads the booking, makes it, and its connection is reset. The daemon can't know,
-	// says so, and neither it nor Go's transport sends the booking again.
-	It("are unknown, and not sent again, when the connection breaks after sending", func(ctx SpecContext) {
+	// The service executes the booking and its connection is reset before the answer. The daemon can't know the outcome
+	// and reports it as unknown, and neither it nor Go's transport sends the booking again.
+	It("have an unknown outcome, and are not sent again, when the connection is reset after sending", func(ctx SpecContext) {
 		serviceFaults(twservicestand.Faults{ResetAfterExecution: 10})
 		r := s.book(ctx, s.daemons[0], "k", "12")
 		Expect(r.status).To(Equal(http.StatusGatewayTimeout))
 		Expect(r.problem.Outcome).To(Equal("unknown"))
-		Expect(s.acts("k")).To(HaveLen(1))
+		Expect(s.executedCalls("k")).To(HaveLen(1))
 		serviceFaults(twservicestand.Faults{})
 		for _, d := range s.daemons {
 			Eventually(func() string { return s.book(ctx, d, "k", "12").problem.Kind }).Should(Equal("outcomeUnknown"))
 		}
-		Expect(s.acts("k")).To(HaveLen(1))
+		Expect(s.executedCalls("k")).To(HaveLen(1))
 	})
 
-	// No upstream accepts a connection: nothing was sent, and notRun is final and true. When the
-	// service is back the same key runs, once.
-	It("are not run when no upstream takes them, and run later under the same key", func(ctx SpecContext) {
+	// No upstream accepts a connection, so that nothing was sent and notRun is final. Once the service has recovered,
+	// the same key runs once.
+	It("are not run when no upstream accepts a connection, and run later under the same key", func(ctx SpecContext) {
 		address := s.services[0].address
 		for _, p := range s.services {
 			p.kill()
@@ -78,38 +78,38 @@
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.problem.Outcome).To(Equal("notRun"))
 		Expect(r.problem.RetryAfterMillis).To(BeNumerically(">", 0))
-		s.services = []*process{s.stand("service", "--name", "agenda-desk-0", "--listen", address)}
+		s.services = []*process{s.startSimulator("service", "--name", "agenda-desk-0", "--listen", address)}
 		Eventually(func() int { return s.book(ctx, s.daemons[1], "k", "12").status }).Should(Equal(http.StatusOK))
-		Expect(s.acts("k")).To(HaveLen(1))
+		Expect(s.executedCalls("k")).To(HaveLen(1))
 	})
 
-	// The store is down: the call can't be claimed and is refused as not run. It truly did not run,
-	// and the claim that may turn up later is sealed.
-	It("are not run while the store is down", func(ctx SpecContext) {
-		control(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
+	// While the store is unavailable the call can't be claimed and is refused as not run. It does not run later either:
+	// a claim of it that the store commits late is sealed.
+	It("are not run while the store is unavailable", func(ctx SpecContext) {
+		postControl(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
 		r := s.book(ctx, s.daemons[0], "k", "12")
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.problem.Outcome).To(Equal("notRun"))
-		control(s.platform.address, "faults", twplatformstand.Faults{})
-		Consistently(func() []act { return s.acts("k") }).WithTimeout(3 * time.Second).Should(BeEmpty())
+		postControl(s.platform.address, "faults", twplatformstand.Faults{})
+		Consistently(func() []executedCall { return s.executedCalls("k") }).WithTimeout(3 * time.Second).Should(BeEmpty())
 		Eventually(func() int { return s.book(ctx, s.daemons[1], "k", "12").status }).Should(Equal(http.StatusOK))
-		Expect(s.acts("k")).To(HaveLen(1))
+		Expect(s.executedCalls("k")).To(HaveLen(1))
 	})
 
-	// The claim is written, but the store's answer is lost. The daemon reads back, finds its own
-	// claim, and makes the booking: once.
+	// The claim is written, but the store's answer is lost. The daemon reads the claim back, finds that it is its own,
+	// and makes the booking once.
 	It("run once although the answer to their claim is lost", func(ctx SpecContext) {
-		control(s.platform.address, "faults", twplatformstand.Faults{LoseAnswers: 2})
+		postControl(s.platform.address, "faults", twplatformstand.Faults{LoseAnswers: 2})
 		Expect(s.book(ctx, s.daemons[0], "k", "12").status).To(Equal(http.StatusOK))
-		Expect(s.acts("k")).To(HaveLen(1))
+		Expect(s.executedCalls("k")).To(HaveLen(1))
 	})
 
-	// The owner dies after it sent the booking and before it recorded the answer. Nobody can know,
-	// and no other daemon takes the claim over, however long it waits.
-	It("are unknown after their owner died, and are not sent again", func(ctx SpecContext) {
+	// The owner is killed after it sent the booking and before it recorded the answer. No daemon can know the
+	// outcome, and none takes the claim over, however long it waits.
+	It("have an unknown outcome after their owner was killed, and are not sent again", func(ctx SpecContext) {
 		serviceFaults(twservicestand.Faults{LatencyMillis: 3000})
 		go func() { _ = s.book(ctx, s.daemons[0], "k", "12") }()
-		Eventually(func() []act { return s.acts("k") }).Should(HaveLen(1))
+		Eventually(func() []executedCall { return s.executedCalls("k") }).Should(HaveLen(1))
 		s.daemons[0].kill()
 		serviceFaults(twservicestand.Faults{})
 		for _, d := range s.daemons[1:] {
@@ -117,14 +117,13 @@
 		}
 		Consistently(func() string { return s.book(ctx, s.daemons[1], "k", "12").problem.Outcome }).WithTimeout(6 * time.Second).
 			WithPolling(time.Second).Should(Equal("unknown"))
-		Expect(s.acts("k")).To(HaveLen(1))
+		Expect(s.executedCalls("k")).To(HaveLen(1))
 	})
 
-	// The owner is frozen anywhere between taking the call and answering it, in every round at another
-	// moment, and wakes up after its peers have counted it as lost and its clients have come back
-	// elsewhere. Whatever it does then, each booking is made at most once, and one that was refused as
-	// not run by a daemon was not made by it.
-	It("run at most once although their owner freezes at any step", func(ctx SpecContext) {
+	// The owner is suspended between accepting a call and answering it, for each key at a different time, and resumes
+	// after its peers have counted it as lost and its clients have retried at other daemons. Each booking is made at
+	// most once, whatever the owner does then.
+	It("run at most once although their owner is suspended at any step", func(ctx SpecContext) {
 		serviceFaults(twservicestand.Faults{LatencyMillis: 5})
 		const rounds = 12
 		first := make(chan reply, rounds)
@@ -146,7 +145,7 @@
 			Eventually(first).WithTimeout(callTimeout).Should(Receive())
 		}
 		for i := range rounds {
-			Expect(len(s.acts(fmt.Sprintf("key-%d", i)))).To(BeNumerically("<=", 1))
+			Expect(len(s.executedCalls(fmt.Sprintf("key-%d", i)))).To(BeNumerically("<=", 1))
 		}
 	})
 
@@ -155,6 +154,6 @@
 		Expect(s.book(ctx, s.daemons[0], "k", "12").status).To(Equal(http.StatusOK))
 		r := s.book(ctx, s.daemons[1], "k", "13")
 		Expect(r.status).To(Equal(http.StatusUnprocessableEntity))
-		Expect(s.acts("k")).To(HaveLen(1))
+		Expect(s.executedCalls("k")).To(HaveLen(1))
 	})
 })
--- a/turmericwallstand/e2e/operations_test.go
+++ b/turmericwallstand/e2e/operations_test.go
@@ -21,7 +21,7 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twplatformstand"
 )
 
-// replaceDaemons lists only the given daemons.
+// replaceDaemons removes all other daemons from the platform's VM list.
 func (s *site) replaceDaemons(daemons ...*daemon) {
 	GinkgoHelper()
 	s.vms = slices.DeleteFunc(s.vms, func(vm turmericwall.VM) bool {
@@ -31,7 +31,7 @@
 	s.publishVMs()
 }
 
-// setState changes one VM's state in the platform's list.
+// setState changes the state of one VM in the platform's list.
 func (s *site) setState(name string, state turmericwall.VMState) {
 	GinkgoHelper()
 	for i := range s.vms {
@@ -49,42 +49,43 @@
 		s = newSite(twexample.Arriola(), size{prefill: 1, decode: 2, services: 2, daemons: 2})
 	})
 
-	// expectNoNewWork lets a few seconds pass, and then sends work that the engine must not get.
+	// expectNoNewWork waits for the four seconds after which a leaving upstream must receive no more work, then sends
+	// requests and checks that the engine received none.
 	expectNoNewWork := func(ctx SpecContext, leaving *process) {
 		GinkgoHelper()
 		time.Sleep(4 * time.Second)
 		before := leaving.stats().Received
 		for i := range 8 {
 			r := s.stream(ctx, s.daemons[i%2], fmt.Sprintf("question %d", i), 5)
-			Expect(r.whole).To(BeTrue())
+			Expect(r.complete).To(BeTrue())
 		}
 		Expect(leaving.stats().Received).To(Equal(before))
 	}
 
-	// The platform marks an engine's VM as leaving, and its list shows this late.
-	It("get no new work after the lagging list marks them", func(ctx SpecContext) {
-		control(s.platform.address, "faults", twplatformstand.Faults{ListLagMillis: 1500})
+	// The platform marks an engine's VM as leaving, and its list shows this 1.5 s later.
+	It("receive no new work after a lagging VM list marks them", func(ctx SpecContext) {
+		postControl(s.platform.address, "faults", twplatformstand.Faults{ListLagMillis: 1500})
 		s.setState("decode-0", turmericwall.VMLeaving)
 		expectNoNewWork(ctx, s.decode[0])
 	})
 
-	// The engine drains by itself and says so in its reports, while the platform's list is down.
-	It("get no new work after their own report says that they drain", func(ctx SpecContext) {
-		control(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
-		control(s.decode[0].address, "faults", twenginestand.Faults{Draining: true})
+	// The engine starts to drain and states this in its reports, while the platform's list is unavailable.
+	It("receive no new work after their own report states that they are draining", func(ctx SpecContext) {
+		postControl(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
+		postControl(s.decode[0].address, "faults", twenginestand.Faults{Draining: true})
 		expectNoNewWork(ctx, s.decode[0])
 	})
 
-	// A plain service's VM leaves. Its calls go to the other one.
-	It("of a plain service get no new calls", func(ctx SpecContext) {
+	// A plain service's VM leaves. Its calls go to the other VM.
+	It("of a plain service receive no new calls", func(ctx SpecContext) {
 		s.setState("agenda-desk-0", turmericwall.VMLeaving)
 		time.Sleep(3 * time.Second)
 		for i := range 6 {
 			Expect(s.book(ctx, s.daemons[i%2], fmt.Sprintf("k%d", i), "1").status).To(Equal(http.StatusOK))
 		}
-		var acts []act
-		getJSON("http://"+s.services[0].address+"/control/acts", &acts)
-		Expect(acts).To(BeEmpty())
+		var executed []executedCall
+		getJSON("http://"+s.services[0].address+"/control/acts", &executed)
+		Expect(executed).To(BeEmpty())
 	})
 })
 
@@ -95,8 +96,9 @@
 		s = newSite(twexample.Arriola(), size{prefill: 2, decode: 2, services: 1, daemons: 2})
 	})
 
-	// drain ends a daemon under load and expects that every stream of it is whole.
-	drain := func(ctx SpecContext, stop func(d *daemon)) {
+	// expectDrainedAfter stops a daemon under load, and expects that each of its streams is complete and that it exits
+	// with code 0.
+	expectDrainedAfter := func(ctx SpecContext, stop func(d *daemon)) {
 		GinkgoHelper()
 		const callers = 10
 		replies := make(chan reply, callers)
@@ -109,21 +111,21 @@
 			var r reply
 			Eventually(replies).WithTimeout(callTimeout).Should(Receive(&r))
 			Expect(r.err).NotTo(HaveOccurred())
-			Expect(r.whole).To(BeTrue())
+			Expect(r.complete).To(BeTrue())
 			Expect(r.text).To(Equal(twenginestand.Answer("a question", 100)))
 		}
 		Eventually(s.daemons[0].session).WithTimeout(20 * time.Second).Should(gexec.Exit(0))
 	}
 
-	// SIGTERM comes under load. The daemon is not ready any more, finishes all streams and ends.
-	It("cuts no request under load", func(ctx SpecContext) {
-		drain(ctx, func(d *daemon) { d.signal(syscall.SIGTERM) })
+	// After a SIGTERM under load the daemon is no longer ready, finishes all streams and exits.
+	It("interrupts no request under load", func(ctx SpecContext) {
+		expectDrainedAfter(ctx, func(d *daemon) { d.signal(syscall.SIGTERM) })
 	})
 
-	// A second and a third SIGTERM come while it drains, and the store is down. Nothing is cut.
-	It("cuts no request when it is asked again while the store is down", func(ctx SpecContext) {
-		drain(ctx, func(d *daemon) {
-			control(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
+	// A second and a third SIGTERM arrive during the drain, while the store is unavailable. No stream is cut short.
+	It("interrupts no request when SIGTERM is repeated while the store is unavailable", func(ctx SpecContext) {
+		expectDrainedAfter(ctx, func(d *daemon) {
+			postControl(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
 			for range 3 {
 				d.signal(syscall.SIGTERM)
 				time.Sleep(100 * time.Millisecond)
@@ -131,11 +133,11 @@
 		})
 	})
 
-	// The daemon that leaves is the leader of the engines. The other one takes the duty over at once,
-	// and new work goes on without a pause that a caller could see.
-	It("hands the leader's duty over", func(ctx SpecContext) {
+	// The daemon that leaves is the leader of the engines. The other one becomes leader at once, and no new request is
+	// refused.
+	It("hands leadership over without refusing a request", func(ctx SpecContext) {
 		index := 0
-		if len(s.daemons[1].status().Keeps) > 0 {
+		if len(s.daemons[1].status().Leads) > 0 {
 			index = 1
 		}
 		leaving, staying := s.daemons[index], s.daemons[1-index]
@@ -143,7 +145,7 @@
 		for range 5 {
 			r := s.stream(ctx, staying, "a question", 10)
 			Expect(r.status).To(Equal(http.StatusOK))
-			Expect(r.whole).To(BeTrue())
+			Expect(r.complete).To(BeTrue())
 		}
 		Eventually(leaving.session).WithTimeout(20 * time.Second).Should(gexec.Exit(0))
 	})
@@ -171,8 +173,9 @@
 		return all
 	}
 
-	// Two operators change the same revision. One wins; the other is told so and overwrites nothing.
-	It("is changed by one of two racing operators", func(ctx SpecContext) {
+	// Two operators apply a document on the same revision. One succeeds; the other gets a conflict and overwrites
+	// nothing.
+	It("is changed by only one of two concurrent operators", func(ctx SpecContext) {
 		errs := make(chan error, 2)
 		for i := range 2 {
 			go func() {
@@ -190,10 +193,10 @@
 		Eventually(revisions).Should(HaveEach(int64(2)))
 	})
 
-	// The store takes a revision in and its answer is lost. Apply settles it by reading back, and an
-	// operator who applies the same bytes again is told the same.
+	// The store commits a revision and its answer is lost. Apply reads the revision back, and an operator who applies
+	// the same bytes again gets the same result.
 	It("is changed once although the answer to apply is lost", func(ctx SpecContext) {
-		control(s.platform.address, "faults", twplatformstand.Faults{LoseAnswers: 1})
+		postControl(s.platform.address, "faults", twplatformstand.Faults{LoseAnswers: 1})
 		for range 2 {
 			head, err := publisher.Apply(ctx, 1, variant(7))
 			Expect(err).NotTo(HaveOccurred())
@@ -201,75 +204,75 @@
 		}
 	})
 
-	// Revisions follow each other quickly, and the platform fails in between. Each daemon's revision
-	// only grows, and the last one is in force everywhere within nine seconds.
-	It("comes into force everywhere within seconds, and never goes back", func(ctx SpecContext) {
+	// Revisions are applied in quick succession with outages of the platform in between. Each daemon's revision only
+	// grows, and the last one is in force at all daemons within nine seconds.
+	It("comes into force everywhere within seconds, and never reverts", func(ctx SpecContext) {
 		highest := make([]int64, len(s.daemons))
-		watch := func() {
+		expectNoRevert := func() {
 			for i, r := range revisions() {
 				Expect(r).To(BeNumerically(">=", highest[i]))
 				highest[i] = r
 			}
 		}
 		for i := range 10 {
-			control(s.platform.address, "faults", twplatformstand.Faults{Outage: i%3 == 2})
-			control(s.platform.address, "faults", twplatformstand.Faults{})
+			postControl(s.platform.address, "faults", twplatformstand.Faults{Outage: i%3 == 2})
+			postControl(s.platform.address, "faults", twplatformstand.Faults{})
 			_, err := publisher.Apply(ctx, int64(i+1), variant(i))
 			Expect(err).NotTo(HaveOccurred())
-			watch()
+			expectNoRevert()
 		}
 		Eventually(func() []int64 {
-			watch()
+			expectNoRevert()
 			return revisions()
 		}).WithTimeout(9 * time.Second).Should(HaveEach(int64(11)))
 	})
 
-	// A VM starts while the platform is down. Alone it stays not ready; with a peer in reach it
-	// learns the configuration and the list of VMs from it, and serves.
-	It("is learned from a peer while the platform is down, or not at all", func(ctx SpecContext) {
-		control(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
-		alone := s.daemon("entry-8", 0)
-		Consistently(func() bool { return alone.status().Ready }).WithTimeout(4 * time.Second).Should(BeFalse())
-		r := s.call(ctx, alone, http.MethodGet, "/v1/models", nil, nil)
+	// A daemon starts while the platform is unavailable. Without a peer it does not become ready; with a peer as its
+	// seed it receives the configuration and the VM list from that peer, and serves.
+	It("is received from a peer while the platform is unavailable, and is required for readiness", func(ctx SpecContext) {
+		postControl(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
+		isolated := s.startDaemon("entry-8", 0)
+		Consistently(func() bool { return isolated.status().Ready }).WithTimeout(4 * time.Second).Should(BeFalse())
+		r := s.call(ctx, isolated, http.MethodGet, "/v1/models", nil, nil)
 		Expect(r.problem.Kind).To(Equal("notReady"))
-		met := s.daemonAt("entry-9", 0, "127.0.0.1:0", fmt.Sprintf("%q", s.daemons[0].peers))
-		s.awaitReady(met)
-		Expect(met.status().Revision).To(Equal(int64(1)))
+		seeded := s.startDaemonAt("entry-9", 0, "127.0.0.1:0", fmt.Sprintf("%q", s.daemons[0].peers))
+		s.awaitReady(seeded)
+		Expect(seeded.status().Revision).To(Equal(int64(1)))
 	})
 
-	// All VMs are replaced. The new ones have the last revision, not an earlier one.
-	It("survives the replacement of every VM", func(ctx SpecContext) {
+	// All daemons are replaced. The new one has the last revision, not an earlier one.
+	It("is kept when every VM is replaced", func(ctx SpecContext) {
 		_, err := publisher.Apply(ctx, 1, variant(1))
 		Expect(err).NotTo(HaveOccurred())
 		for _, d := range s.daemons {
 			d.kill()
 		}
-		fresh := s.daemon("entry-9", 0)
+		fresh := s.startDaemon("entry-9", 0)
 		s.awaitReady(fresh)
 		Expect(fresh.status().Revision).To(Equal(int64(2)))
 	})
 })
 
 var _ = Describe("bad input", func() {
-	// Each call is wrong in one way. The caller gets a problem that names kind and remedy, at once.
-	It("gets a clear problem", func(ctx SpecContext) {
+	// Each call is invalid in one way. The caller receives a problem with kind and remedy, and the outcome notRun.
+	It("gets a problem with kind, remedy and outcome", func(ctx SpecContext) {
 		s := newSite(twexample.Arriola(), size{prefill: 1, decode: 1, services: 1, daemons: 1})
 		d := s.daemons[0]
 		post := func(path string, header http.Header, body any) reply {
 			return s.call(ctx, d, http.MethodPost, path, header, body)
 		}
-		ask := func(c completion) reply { return post("/v1/completions", nil, c) }
+		postCompletion := func(c completion) reply { return post("/v1/completions", nil, c) }
 		model := s.example.Model()
-		for _, wrong := range []struct {
+		for _, invalid := range []struct {
 			r      reply
 			status int
 			kind   string
 		}{
-			{ask(completion{Model: "none", Prompt: "p", MaxTokens: 1}), http.StatusNotFound, "notFound"},
-			{ask(completion{Model: model, MaxTokens: 1}), http.StatusBadRequest, "badRequest"},
-			{ask(completion{Model: model, Prompt: "p", MaxTokens: -1}), http.StatusBadRequest, "badRequest"},
-			{ask(completion{Model: model, Prompt: "p", MaxTokens: 1 << 30}), http.StatusBadRequest, "badRequest"},
-			{ask(completion{Model: model, Prompt: strings.Repeat("p", 5<<20), MaxTokens: 1}), http.StatusRequestEntityTooLarge, "tooLarge"},
+			{postCompletion(completion{Model: "none", Prompt: "p", MaxTokens: 1}), http.StatusNotFound, "notFound"},
+			{postCompletion(completion{Model: model, MaxTokens: 1}), http.StatusBadRequest, "badRequest"},
+			{postCompletion(completion{Model: model, Prompt: "p", MaxTokens: -1}), http.StatusBadRequest, "badRequest"},
+			{postCompletion(completion{Model: model, Prompt: "p", MaxTokens: 1 << 30}), http.StatusBadRequest, "badRequest"},
+			{postCompletion(completion{Model: model, Prompt: strings.Repeat("p", 5<<20), MaxTokens: 1}), http.StatusRequestEntityTooLarge, "tooLarge"},
 			{post("/v1/completions", nil, "no object"), http.StatusBadRequest, "badRequest"},
 			{post("/v1/completions", http.Header{"X-Work": {"none"}}, completion{Model: model, Prompt: "p", MaxTokens: 1}), http.StatusForbidden, "forbidden"},
 			{post("/v1/completions", http.Header{"Prefer": {"respond-async"}}, completion{Model: model, Prompt: "p", MaxTokens: 1}), http.StatusBadRequest, "badRequest"},
@@ -280,18 +283,18 @@
 			{s.fetch(ctx, d, "/v1/requests/none"), http.StatusNotFound, "notFound"},
 			{s.call(ctx, d, http.MethodGet, "/none", nil, nil), http.StatusNotFound, "notFound"},
 		} {
-			Expect(wrong.r.err).NotTo(HaveOccurred())
-			Expect(wrong.r.status).To(Equal(wrong.status), wrong.r.body)
-			Expect(wrong.r.problem.Kind).To(Equal(wrong.kind))
-			Expect(wrong.r.problem.Remedy).NotTo(BeEmpty())
-			Expect(wrong.r.problem.Outcome).To(Equal("notRun"))
+			Expect(invalid.r.err).NotTo(HaveOccurred())
+			Expect(invalid.r.status).To(Equal(invalid.status), invalid.r.body)
+			Expect(invalid.r.problem.Kind).To(Equal(invalid.kind))
+			Expect(invalid.r.problem.Remedy).NotTo(BeEmpty())
+			Expect(invalid.r.problem.Outcome).To(Equal("notRun"))
 		}
 		Expect(s.services[0].address).NotTo(BeEmpty())
-		Expect(s.acts("a")).To(BeEmpty())
+		Expect(s.executedCalls("a")).To(BeEmpty())
 	})
 
-	// A caller sends endless headers. It is cut off, and the daemon goes on.
-	It("does not keep a daemon from serving", func(ctx SpecContext) {
+	// A caller sends headers without end. The daemon closes its connection and serves other callers.
+	It("does not stop a daemon from serving", func(ctx SpecContext) {
 		s := newSite(twexample.Arriola(), size{prefill: 1, decode: 1, daemons: 1})
 		connection, err := net.Dial("tcp", s.daemons[0].callers)
 		Expect(err).NotTo(HaveOccurred())
@@ -299,7 +302,7 @@
 		for range 200 {
 			_, err = connection.Write([]byte("X-Flood: " + strings.Repeat("f", 1000) + "\r\n"))
 		}
-		Expect(s.stream(ctx, s.daemons[0], "p", 3).whole).To(BeTrue())
+		Expect(s.stream(ctx, s.daemons[0], "p", 3).complete).To(BeTrue())
 		Expect(connection.Close()).To(Succeed())
 	})
 })
--- a/turmericwallstand/e2e/path_test.go
+++ b/turmericwallstand/e2e/path_test.go
@@ -11,7 +11,7 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twexample"
 )
 
-var _ = Describe("the whole path", func() {
+var _ = Describe("the complete path", func() {
 	var s *site
 
 	BeforeEach(func() {
@@ -23,22 +23,22 @@
 		for _, d := range s.daemons {
 			r := s.stream(ctx, d, prompt, 20)
 			Expect(r.status).To(Equal(http.StatusOK))
-			Expect(r.whole).To(BeTrue())
+			Expect(r.complete).To(BeTrue())
 			Expect(r.text).To(Equal(twenginestand.Answer(prompt, 20)))
 		}
 	})
 
-	It("answers a plain service's call once for one key", func(ctx SpecContext) {
+	It("runs a plain service's call once for one key", func(ctx SpecContext) {
 		first := s.book(ctx, s.daemons[0], "key-1", "12")
 		Expect(first.status).To(Equal(http.StatusOK))
 		again := s.book(ctx, s.daemons[1], "key-1", "12")
 		Expect(again.status).To(Equal(http.StatusOK))
 		Expect(again.body).To(Equal(first.body))
 		Expect(again.header.Get("Idempotent-Replayed")).To(Equal("true"))
-		Expect(s.acts("key-1")).To(HaveLen(1))
+		Expect(s.executedCalls("key-1")).To(HaveLen(1))
 	})
 
-	It("accepts work that may wait, and gives the same bytes to every fetch", func(ctx SpecContext) {
+	It("accepts deferrable work, and returns the same bytes to every fetch", func(ctx SpecContext) {
 		prompt := strings.Repeat("Tasting note: cane and oak. ", 2000)
 		accepted := s.submit(ctx, s.daemons[0], "dossier-1", prompt, 30)
 		Expect(accepted.status).To(Equal(http.StatusAccepted))
--- a/turmericwallstand/e2e/site_test.go
+++ b/turmericwallstand/e2e/site_test.go
@@ -23,14 +23,14 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twexample"
 )
 
-// process is one started program.
+// process is a started program, with the address that it reported.
 type process struct {
 	name    string
 	address string
 	session *gexec.Session
 }
 
-// daemon is a started turmericwalld.
+// daemon is a started turmericwalld with the addresses of its listeners.
 type daemon struct {
 	process
 	callers    string
@@ -38,7 +38,7 @@
 	operations string
 }
 
-// site is a set of processes.
+// site is a set of processes: a simulated platform, simulated engines and plain services, and daemons.
 type site struct {
 	example  twexample.Example
 	platform *process
@@ -50,31 +50,32 @@
 	folder   string
 }
 
+// size is the number of processes of each kind.
 type size struct{ prefill, decode, services, daemons int }
 
 var listening = regexp.MustCompile(`"listening":"([^"]+)"`)
 
-// newSite starts all processes and waits until the daemons are ready.
+// newSite starts all processes, and waits until the daemons are ready and each has found its peers.
 func newSite(example twexample.Example, s size) *site {
 	GinkgoHelper()
 	st := &site{example: example, folder: GinkgoT().TempDir()}
-	st.platform = st.stand("platform")
+	st.platform = st.startSimulator("platform")
 	for i := range s.prefill {
-		st.prefill = append(st.prefill, st.engine("prefill", i))
+		st.prefill = append(st.prefill, st.startEngine("prefill", i))
 	}
 	for i := range s.decode {
-		st.decode = append(st.decode, st.engine("decode", i))
+		st.decode = append(st.decode, st.startEngine("decode", i))
 	}
 	for i := range s.services {
 		name := fmt.Sprintf("%s-%d", example.PlainService(), i)
-		p := st.stand("service", "--name", name)
+		p := st.startSimulator("service", "--name", name)
 		st.services = append(st.services, p)
-		st.list(name, example.PlainService(), i, p.address)
+		st.listVM(name, example.PlainService(), i, p.address)
 	}
 	st.apply(0, example.Document())
 	st.publishVMs()
 	for i := range s.daemons {
-		st.daemons = append(st.daemons, st.daemon(fmt.Sprintf("entry-%d", i+1), i))
+		st.daemons = append(st.daemons, st.startDaemon(fmt.Sprintf("entry-%d", i+1), i))
 	}
 	st.publishVMs()
 	for _, d := range st.daemons {
@@ -84,23 +85,24 @@
 	return st
 }
 
-func (s *site) stand(arguments ...string) *process {
+// startSimulator starts a command of turmericwallstand and waits until it reports its address.
+func (s *site) startSimulator(arguments ...string) *process {
 	GinkgoHelper()
-	p := start(arguments[0], standProgram, arguments...)
+	p := startProcess(arguments[0], standProgram, arguments...)
 	Eventually(p.session.Out.Contents).Should(MatchRegexp(listening.String()))
 	p.address = string(listening.FindSubmatch(p.session.Out.Contents())[1])
 	return p
 }
 
-func (s *site) engine(role string, i int) *process {
+func (s *site) startEngine(role string, i int) *process {
 	GinkgoHelper()
 	name := fmt.Sprintf("%s-%d", role, i)
-	p := s.stand("engine", "--name", name, "--role", role, "--models", s.example.Model())
-	s.list(name, s.example.EngineService(), i, p.address)
+	p := s.startSimulator("engine", "--name", name, "--role", role, "--models", s.example.Model())
+	s.listVM(name, s.example.EngineService(), i, p.address)
 	return p
 }
 
-func start(name, program string, arguments ...string) *process {
+func startProcess(name, program string, arguments ...string) *process {
 	GinkgoHelper()
 	session, err := gexec.Start(exec.Command(program, arguments...), nil, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
@@ -108,7 +110,8 @@
 	return &process{name: name, session: session}
 }
 
-func (s *site) list(name, service string, zone int, address string) {
+// listVM adds a live VM to the list that publishVMs publishes.
+func (s *site) listVM(name, service string, zone int, address string) {
 	s.vms = append(s.vms, turmericwall.VM{
 		Name: name, Service: service, Region: s.example.Region(), Zone: s.example.Zone(zone), Address: address, State: turmericwall.VMLive,
 	})
@@ -116,17 +119,17 @@
 
 func (s *site) publishVMs() {
 	GinkgoHelper()
-	control(s.platform.address, "vms", s.vms)
+	postControl(s.platform.address, "vms", s.vms)
 }
 
-// daemon starts a daemon that takes free ports.
-func (s *site) daemon(name string, zone int) *daemon {
+// startDaemon starts a daemon on free ports and without seeds.
+func (s *site) startDaemon(name string, zone int) *daemon {
 	GinkgoHelper()
-	return s.daemonAt(name, zone, "127.0.0.1:0", "")
+	return s.startDaemonAt(name, zone, "127.0.0.1:0", "")
 }
 
-// daemonAt starts a daemon with a fixed peers' listener and seeds.
-func (s *site) daemonAt(name string, zone int, peers, seed string) *daemon {
+// startDaemonAt starts a daemon with the address of its peers' listener and a JSON list of seeds.
+func (s *site) startDaemonAt(name string, zone int, peers, seed string) *daemon {
 	GinkgoHelper()
 	settings := fmt.Sprintf(`{
 		// One of the test's entry VMs.
@@ -136,16 +139,17 @@
 	}`, name, s.example.Region(), s.example.Zone(zone), peers, s.platform.address, seed)
 	path := filepath.Join(s.folder, name+".jsonc")
 	Expect(os.WriteFile(path, []byte(settings), 0o600)).To(Succeed())
-	d := &daemon{process: *start(name, daemonProgram, "serve", "--settings", path)}
+	d := &daemon{process: *startProcess(name, daemonProgram, "serve", "--settings", path)}
 	Eventually(d.session.Out.Contents).Should(ContainSubstring(`"event":1001`))
-	d.callers, d.peers, d.operations = d.field("callers"), d.field("peers"), d.field("operations")
+	d.callers, d.peers, d.operations = d.logField("callers"), d.logField("peers"), d.logField("operations")
 	s.vms = append(s.vms, turmericwall.VM{
 		Name: name, Service: "turmericwall", Region: s.example.Region(), Zone: s.example.Zone(zone), Address: d.peers, State: turmericwall.VMLive,
 	})
 	return d
 }
 
-func (d *daemon) field(name string) string {
+// logField returns the value of a field in the daemon's log.
+func (d *daemon) logField(name string) string {
 	GinkgoHelper()
 	found := regexp.MustCompile(`"` + name + `":"([^"]+)"`).FindSubmatch(d.session.Out.Contents())
 	Expect(found).To(HaveLen(2))
@@ -170,22 +174,22 @@
 	}
 }
 
-type peerStatus struct {
+type peerEntry struct {
 	Incarnation string `json:"incarnation"`
 	Revision    int64  `json:"revision"`
 }
 
 type status struct {
-	Incarnation string       `json:"incarnation"`
-	Ready       bool         `json:"ready"`
-	Revision    int64        `json:"revision"`
-	Digest      string       `json:"digest"`
-	InFlight    int          `json:"inFlight"`
-	Attempts    int          `json:"attempts"`
-	Deferrable  int          `json:"deferrable"`
-	Cancels     int          `json:"cancels"`
-	Keeps       []string     `json:"keeps"`
-	Peers       []peerStatus `json:"peers"`
+	Incarnation string      `json:"incarnation"`
+	Ready       bool        `json:"ready"`
+	Revision    int64       `json:"revision"`
+	Digest      string      `json:"digest"`
+	InFlight    int         `json:"inFlight"`
+	Attempts    int         `json:"attempts"`
+	Deferrable  int         `json:"deferrable"`
+	Cancels     int         `json:"cancels"`
+	Leads       []string    `json:"keeps"`
+	Peers       []peerEntry `json:"peers"`
 }
 
 func (d *daemon) status() status {
@@ -194,7 +198,7 @@
 	return s
 }
 
-// table is a client of the platform's table.
+// table returns a client of the platform's table.
 func (s *site) table() turmericwall.Table {
 	return twtable.New(twhttp.New(twhttp.Config{Address: "http://" + s.platform.address}))
 }
@@ -206,8 +210,8 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// control posts to a stand-in's control endpoint.
-func control(address, what string, body any) {
+// postControl posts to a control endpoint of a simulator, such as faults or vms.
+func postControl(address, what string, body any) {
 	GinkgoHelper()
 	encoded, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
@@ -217,6 +221,7 @@
 	Expect(response.StatusCode).To(Equal(http.StatusOK))
 }
 
+// getJSON decodes the JSON answer into target, which stays as it is if the call fails: callers poll.
 func getJSON(address string, target any) {
 	response, err := http.Get(address)
 	if err != nil {
--- a/turmericwallstand/e2e/suite_test.go
+++ b/turmericwallstand/e2e/suite_test.go
@@ -1,4 +1,5 @@
-// Package e2e_test runs the programs as separate processes on loopback.
+// Package e2e_test runs the programs as separate processes on loopback, injects failures into them, and checks what
+// callers, engines and plain services see.
 package e2e_test
 
 import (
