--- a/turmericwallctl/internal/twcommand/command.go
+++ b/turmericwallctl/internal/twcommand/command.go
@@ -38,7 +38,7 @@
 	Check   check   `cmd:"" help:"Check a document without applying it."`
 	Diff    diff    `cmd:"" help:"Compare a document with the revision in force."`
 	Apply   apply   `cmd:"" help:"Apply a document as the next revision of an environment."`
-	Prove   prove   `cmd:"" help:"Record that the document in force answered requests on every daemon of its environment."`
+	Prove   prove   `cmd:"" help:"Record that the document in force answers requests on all daemons."`
 	Promote promote `cmd:"" help:"Apply the document proved in one environment to another, byte for byte."`
 	History history `cmd:"" help:"List the revisions of an environment."`
 	Status  status  `cmd:"" help:"Show the status of daemons."`
--- a/turmericwallctl/internal/twcommand/document.go
+++ b/turmericwallctl/internal/twcommand/document.go
@@ -148,14 +148,16 @@
 			return err
 		}
 		if s.Digest != head.Digest || s.Environment != p.Environment {
-			return fmt.Errorf("daemon %s has revision %d of %s in force, not %d: retry when it has followed: %w", address, s.Revision, s.Environment, head.Revision, errConditionNotMet)
+			return fmt.Errorf("daemon %s has revision %d of %s in force, not %d: retry when it has followed: %w",
+				address, s.Revision, s.Environment, head.Revision, errConditionNotMet)
 		}
 		proof.VMs = append(proof.VMs, s.Incarnation)
 		proof.Answered += s.Answered
 		proof.Failed += s.Failed
 	}
 	if proof.Answered == 0 {
-		return fmt.Errorf("no request was answered under revision %d: send trial requests first: %w", head.Revision, errConditionNotMet)
+		return fmt.Errorf("no request was answered under revision %d: send trial requests first: %w",
+			head.Revision, errConditionNotMet)
 	}
 	if err := publisher.Prove(ctx, proof); err != nil {
 		return err
--- a/turmericwallctl/internal/twcommand/operations.go
+++ b/turmericwallctl/internal/twcommand/operations.go
@@ -77,7 +77,8 @@
 		lines = append(lines, found...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no daemon has a trace of request %s: a daemon keeps the last few thousand only, or the request's daemon was replaced: %w", e.ID, errConditionNotMet)
+		return fmt.Errorf("no daemon has a trace of request %s: it is older than the last few thousand, or its daemon was replaced: %w",
+			e.ID, errConditionNotMet)
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 	rows := [][]any{{"AT", "EVENT", "WHAT", "FIELDS"}}
@@ -108,7 +109,8 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusBadRequest {
-		return response.StatusCode, fmt.Errorf("daemon %s answered with status %d, read its log", address, response.StatusCode)
+		return response.StatusCode, fmt.Errorf("daemon %s answered with status %d, read its log",
+			address, response.StatusCode)
 	}
 	if target == nil {
 		return response.StatusCode, nil
--- a/turmericwalld/internal/twcommand/command.go
+++ b/turmericwalld/internal/twcommand/command.go
@@ -1,5 +1,5 @@
-// Package twcommand implements the command line of turmericwalld: serve runs the daemon, check validates a settings file,
-// and version prints the build.
+// Package twcommand implements the command line of turmericwalld: serve runs the daemon, check validates a settings
+// file, and version prints the build.
 package twcommand
 
 import (
--- a/turmericwallstand/e2e/answers_test.go
+++ b/turmericwallstand/e2e/answers_test.go
@@ -33,7 +33,8 @@
 	// add chunks of another attempt with a finish reason. The caller receives its own tokens, each once and in order.
 	It("are assembled correctly from duplicated, swapped and foreign chunks", func(ctx SpecContext) {
 		for _, p := range s.decode {
-			postControl(p.address, "faults", twenginestand.Faults{DuplicateChunks: true, SwapChunks: true, ForeignChunks: true})
+			postControl(p.address, "faults",
+				twenginestand.Faults{DuplicateChunks: true, SwapChunks: true, ForeignChunks: true})
 		}
 		expectComplete(s.stream(ctx, s.daemons[0], prompt, 40), 40)
 	})
--- a/turmericwallstand/e2e/memory_test.go
+++ b/turmericwallstand/e2e/memory_test.go
@@ -69,7 +69,8 @@
 		callCtx, disconnect := context.WithCancel(ctx)
 		ended := make(chan reply, 1)
 		go func() {
-			ended <- s.call(callCtx, s.daemons[0], http.MethodPost, "/v1/completions", http.Header{"X-Work": {"dossier"}},
+			ended <- s.call(callCtx, s.daemons[0], http.MethodPost, "/v1/completions",
+				http.Header{"X-Work": {"dossier"}},
 				completion{Model: s.example.Model(), Prompt: strings.Repeat("a long dossier ", 16_000), MaxTokens: 50})
 		}()
 		Eventually(func() []string { return s.prefill[0].stats().Held }).ShouldNot(BeEmpty())
@@ -102,7 +103,7 @@
 	// A daemon is suspended while it streams. Its peers count it as lost and cancel its attempt. When it resumes it
 	// finds its stream cut short, and continues on another attempt from the tokens already delivered, so that its
 	// caller receives every token once.
-	It("is freed when the owner is suspended, and the caller still receives the complete answer", func(ctx SpecContext) {
+	It("is freed when the owner is suspended, and the caller receives the complete answer", func(ctx SpecContext) {
 		ignoreDisconnects()
 		owner := s.daemons[(leader()+1)%len(s.daemons)]
 		ended := make(chan reply, 1)
--- a/turmericwallstand/e2e/once_test.go
+++ b/turmericwallstand/e2e/once_test.go
@@ -54,7 +54,7 @@
 
 	// The service executes the booking and its connection is reset before the answer. The daemon can't know the outcome
 	// and reports it as unknown, and neither it nor Go's transport sends the booking again.
-	It("have an unknown outcome, and are not sent again, when the connection is reset after sending", func(ctx SpecContext) {
+	It("have an unknown outcome, and are not sent again, when their connection is reset", func(ctx SpecContext) {
 		serviceFaults(twservicestand.Faults{ResetAfterExecution: 10})
 		r := s.book(ctx, s.daemons[0], "k", "12")
 		Expect(r.status).To(Equal(http.StatusGatewayTimeout))
@@ -91,7 +91,8 @@
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.problem.Outcome).To(Equal("notRun"))
 		postControl(s.platform.address, "faults", twplatformstand.Faults{})
-		Consistently(func() []executedCall { return s.executedCalls("k") }).WithTimeout(3 * time.Second).Should(BeEmpty())
+		Consistently(func() []executedCall { return s.executedCalls("k") }).WithTimeout(3 * time.Second).
+			Should(BeEmpty())
 		Eventually(func() int { return s.book(ctx, s.daemons[1], "k", "12").status }).Should(Equal(http.StatusOK))
 		Expect(s.executedCalls("k")).To(HaveLen(1))
 	})
--- a/turmericwallstand/e2e/operations_test.go
+++ b/turmericwallstand/e2e/operations_test.go
@@ -229,7 +229,7 @@
 
 	// A daemon starts while the platform is unavailable. Without a peer it does not become ready; with a peer as its
 	// seed it receives the configuration and the VM list from that peer, and serves.
-	It("is received from a peer while the platform is unavailable, and is required for readiness", func(ctx SpecContext) {
+	It("is received from a peer, and required for readiness, while the platform is unavailable", func(ctx SpecContext) {
 		postControl(s.platform.address, "faults", twplatformstand.Faults{Outage: true})
 		isolated := s.startDaemon("entry-8", 0)
 		Consistently(func() bool { return isolated.status().Ready }).WithTimeout(4 * time.Second).Should(BeFalse())
@@ -271,8 +271,14 @@
 			{postCompletion(completion{Model: "none", Prompt: "p", MaxTokens: 1}), http.StatusNotFound, "notFound"},
 			{postCompletion(completion{Model: model, MaxTokens: 1}), http.StatusBadRequest, "badRequest"},
 			{postCompletion(completion{Model: model, Prompt: "p", MaxTokens: -1}), http.StatusBadRequest, "badRequest"},
-			{postCompletion(completion{Model: model, Prompt: "p", MaxTokens: 1 << 30}), http.StatusBadRequest, "badRequest"},
-			{postCompletion(completion{Model: model, Prompt: strings.Repeat("p", 5<<20), MaxTokens: 1}), http.StatusRequestEntityTooLarge, "tooLarge"},
+			{
+				postCompletion(completion{Model: model, Prompt: "p", MaxTokens: 1 << 30}),
+				http.StatusBadRequest, "badRequest",
+			},
+			{
+				postCompletion(completion{Model: model, Prompt: strings.Repeat("p", 5<<20), MaxTokens: 1}),
+				http.StatusRequestEntityTooLarge, "tooLarge",
+			},
 			{post("/v1/completions", nil, "no object"), http.StatusBadRequest, "badRequest"},
 			{post("/v1/completions", http.Header{"X-Work": {"none"}}, completion{Model: model, Prompt: "p", MaxTokens: 1}), http.StatusForbidden, "forbidden"},
 			{post("/v1/completions", http.Header{"Prefer": {"respond-async"}}, completion{Model: model, Prompt: "p", MaxTokens: 1}), http.StatusBadRequest, "badRequest"},
--- a/turmericwallstand/internal/twbound/bound.go
+++ b/turmericwallstand/internal/twbound/bound.go
@@ -119,8 +119,8 @@
 		return nil, false
 	}
 	return &call{
-		at: float64(ended.UnixMilli() - int64(l.Millis)), promptTokens: l.PromptTokens, answerTokens: l.Events * config.TokensPerEvent,
-		hintTokens: l.HintTokens, maxTokens: l.MaxTokens, service: l.Service,
+		at: float64(ended.UnixMilli() - int64(l.Millis)), promptTokens: l.PromptTokens,
+		answerTokens: l.Events * config.TokensPerEvent, hintTokens: l.HintTokens, maxTokens: l.MaxTokens, service: l.Service,
 	}, true
 }
 
@@ -137,7 +137,8 @@
 	var calls []*call
 	for _, a := range attempts {
 		k := key{a.promptTokens, a.hintTokens, a.service}
-		if previous, ok := last[k]; ok && previous.answerTokens == 0 && a.at-previous.at < float64(retryWindow.Milliseconds()) {
+		if previous, ok := last[k]; ok && previous.answerTokens == 0 &&
+			a.at-previous.at < float64(retryWindow.Milliseconds()) {
 			previous.answerTokens = a.answerTokens
 			continue
 		}
--- a/turmericwallstand/internal/twbound/bound_test.go
+++ b/turmericwallstand/internal/twbound/bound_test.go
@@ -13,7 +13,8 @@
 
 func config() twbound.Config {
 	return twbound.Config{
-		Decodes: 1, Prefills: 1, MemoryTokens: 20_000, PrefillTokensPerMilli: 50, DecodeTokensPerMilli: 1, TargetMillis: 1000, TokensPerEvent: 50,
+		Decodes: 1, Prefills: 1, MemoryTokens: 20_000, PrefillTokensPerMilli: 50, DecodeTokensPerMilli: 1,
+		TargetMillis: 1000, TokensPerEvent: 50,
 	}
 }
 
@@ -43,7 +44,8 @@
 	c.Decodes = 100
 	got, err := twbound.Compute(c, strings.NewReader(attempts("answered", 60, make([]int, 15)...)))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(got.OnTimeCalls).To(Equal(10), "a prefill engine computes 50 tokens a millisecond, for the second of the target")
+	g.Expect(got.OnTimeCalls).To(Equal(10),
+		"a prefill engine computes 50 tokens a millisecond, for the second of the target")
 }
 
 // A refused call and its retry count as one call, which could have been served at the first attempt.
--- a/turmericwallstand/internal/twcommand/command.go
+++ b/turmericwallstand/internal/twcommand/command.go
@@ -30,7 +30,7 @@
 	Service  service  `cmd:"" help:"Simulate a plain service."`
 	Measure  measure  `cmd:"" help:"Measure how a daemon's cost grows with its load, for docs/CAPACITY.md."`
 	Compare  compare  `cmd:"" help:"Measure placement policies against each other under the same load."`
-	Bound    bound    `cmd:"" help:"Compute from a run's logs how many calls a scheduler that knew all of them in advance could have served on time."`
+	Bound    bound    `cmd:"" help:"Compute from a run's logs how many calls could have been served on time."`
 }
 
 // streams holds the writer for the output of commands.
@@ -40,7 +40,7 @@
 func Run(arguments []string, out, errOut io.Writer) int {
 	return twprogram.New(twprogram.Config{
 		Name:        "turmericwallstand",
-		Description: "Simulated systems, load and measurements for turmericwall. Exit codes: 0 success, 1 failure, 2 invalid flags.",
+		Description: "Simulators and measurements for turmericwall. Exit codes: 0 success, 1 failure, 2 invalid flags.",
 		Commands:    &Commands{},
 		Bind:        func() []any { return []any{&streams{out: out}} },
 		Out:         out,
@@ -83,9 +83,9 @@
 	Levels       []float64     `default:"0.7,1.0,1.3" help:"Levels of offered load, as multiples of the capacity."`
 	Seeds        int           `default:"5" help:"Runs of each policy at each level."`
 	Length       time.Duration `default:"12s" help:"Time during which requests arrive in each run."`
-	Fault        string        `default:"" enum:",engineKilled,zoneCut,storeDown,cancels,slowLinks,daemonKilled" help:"Fault injected in the middle of each run."`
-	RetryRefused bool          `name:"come-back" help:"Retry each refused request once, at the retry time that it states."`
-	From         string        `type:"path" help:"Tabulate and draw the recorded runs in this file again instead of running."`
+	Fault        string        `default:"" enum:",engineKilled,zoneCut,storeDown,cancels,slowLinks,daemonKilled" help:"Fault in the middle of each run."`
+	RetryRefused bool          `name:"come-back" help:"Retry refused requests once, at the stated retry time."`
+	From         string        `type:"path" help:"Tabulate and draw the recorded runs in this file instead of running."`
 	Folder       string        `type:"path" help:"Folder for the runs as JSON and the picture."`
 	Log          string        `type:"path" help:"File for the daemons' logs."`
 }
@@ -129,7 +129,7 @@
 	Decodes      int     `required:"" help:"Number of decode engines."`
 	Prefills     int     `required:"" help:"Number of prefill engines."`
 	Memory       float64 `required:"" help:"Memory of one engine, in tokens."`
-	PrefillSpeed float64 `name:"read-speed" required:"" help:"Prompt tokens that a prefill engine computes per millisecond."`
+	PrefillSpeed float64 `name:"read-speed" required:"" help:"Prompt tokens per millisecond of a prefill engine."`
 	DecodeSpeed  float64 `name:"answer-speed" required:"" help:"Tokens by which one answer grows per millisecond."`
 	Target       float64 `default:"1000" help:"Target for the time to the first event, in milliseconds."`
 	EventTokens  int     `default:"50" help:"Number of tokens in one event."`
@@ -167,7 +167,7 @@
 	Slots       int      `help:"Attempts that decode at a time; 20 if unset."`
 	Pieces      int      `help:"Memory in pieces of 4,096 tokens; 64 if unset."`
 	PrefillRate float64  `help:"Prompt tokens computed per second; 10,000 if unset."`
-	StepMillis  float64  `help:"Time between the tokens of an attempt that decodes by itself, in milliseconds; 25 if unset."`
+	StepMillis  float64  `help:"Milliseconds between tokens of an attempt that decodes by itself; 25 if unset."`
 }
 
 // Run serves a simulated engine until a signal.
--- a/turmericwallstand/internal/twcompare/compare.go
+++ b/turmericwallstand/internal/twcompare/compare.go
@@ -167,7 +167,8 @@
 	n := float64(w.runs)
 	m := *w
 	for _, f := range []*float64{
-		&m.offered, &m.good, &m.worth, &m.wasted, &m.firstTokenMillis, &m.gapMillis, &m.refused, &m.failed, &m.wrong, &m.deferrable, &m.recovery, &m.retried, &m.retriesServed,
+		&m.offered, &m.good, &m.worth, &m.wasted, &m.firstTokenMillis, &m.gapMillis,
+		&m.refused, &m.failed, &m.wrong, &m.deferrable, &m.recovery, &m.retried, &m.retriesServed,
 	} {
 		*f /= n
 	}
@@ -180,8 +181,9 @@
 	_, _ = fmt.Fprintln(table, "level\tpolicy\toffered\tgood\t(min-max)\tworth\tworst kind\twasted prefill\tfirst p95 ms\tgap p95 ms\trefused\tfailed\twrong\tdeferrable\trecovery s\tserved on return")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(table, "%.1f\t%s\t%.0f\t%.1f%%\t%.1f-%.1f\t%.1f%%\t%.0f%%\t%.2f%%\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f%%\t%.1f\t%.0f of %.0f\n",
-			r.level, r.policy, r.offered, 100*r.good, 100*r.goodLow, 100*r.goodHigh, 100*r.worth, 100*r.worstKind, 100*r.wasted,
-			r.firstTokenMillis, r.gapMillis, r.refused, r.failed, r.wrong, 100*r.deferrable, r.recovery, r.retriesServed, r.retried)
+			r.level, r.policy, r.offered, 100*r.good, 100*r.goodLow, 100*r.goodHigh, 100*r.worth,
+			100*r.worstKind, 100*r.wasted, r.firstTokenMillis, r.gapMillis, r.refused, r.failed, r.wrong,
+			100*r.deferrable, r.recovery, r.retriesServed, r.retried)
 	}
 	return table.Flush()
 }
--- a/turmericwallstand/internal/twcompare/run.go
+++ b/turmericwallstand/internal/twcompare/run.go
@@ -69,9 +69,11 @@
 		return Run{}, err
 	}
 	site, err := twsite.New(ctx, twsite.Config{
-		Example: example, Daemons: daemons, Prefill: prefillEngines, Decode: decodeEngines, Services: plainServices, Policy: policy, Log: c.config.Log,
+		Example: example, Daemons: daemons, Prefill: prefillEngines, Decode: decodeEngines,
+		Services: plainServices, Policy: policy, Log: c.config.Log,
 		Engine: twenginestand.Config{
-			Slots: slots, Pieces: pieces, PrefillRate: prefillRate, StepMillis: stepMillis, StepPerSlotMillis: stepPerSlotMillis, EventLoss: eventLoss,
+			Slots: slots, Pieces: pieces, PrefillRate: prefillRate, StepMillis: stepMillis,
+			StepPerSlotMillis: stepPerSlotMillis, EventLoss: eventLoss,
 		},
 	})
 	if err != nil {
@@ -91,7 +93,8 @@
 		return err
 	}
 	load := twload.New(twload.Config{
-		Example: example, Callers: site.CallerAddresses(), Requests: mix.Arrivals(r.Rate, c.config.Length), FetchFor: fetchLimit, RetryRefused: c.config.RetryRefused,
+		Example: example, Callers: site.CallerAddresses(), Requests: mix.Arrivals(r.Rate, c.config.Length),
+		FetchFor: fetchLimit, RetryRefused: c.config.RetryRefused,
 	})
 	faultErr := make(chan error, 1)
 	go func() { faultErr <- c.injectFault(ctx, site, load) }()
--- a/turmericwallstand/internal/twdemo/demo.go
+++ b/turmericwallstand/internal/twdemo/demo.go
@@ -61,7 +61,8 @@
 	if err != nil {
 		return err
 	}
-	d.printf("a platform, %d prefill and %d decode engines, %d plain services and %d daemons run in this process", prefillEngines, decodeEngines, plainServices, daemons)
+	d.printf("a platform, %d prefill and %d decode engines, %d plain services and %d daemons run in this process",
+		prefillEngines, decodeEngines, plainServices, daemons)
 	err = d.showSession(ctx, site, example)
 	if err == nil && !d.config.Once {
 		d.printCommands(site, example)
@@ -141,7 +142,8 @@
 	header := http.Header{"Idempotency-Key": {"demo-1"}}
 	var bodies [][]byte
 	for i := range 2 {
-		response, err := s.call(ctx, i, http.MethodPost, "/services/"+s.example.PlainService()+path, header, map[string]string{"table": "12"})
+		response, err := s.call(ctx, i, http.MethodPost, "/services/"+s.example.PlainService()+path, header,
+			map[string]string{"table": "12"})
 		if err != nil {
 			return err
 		}
@@ -150,7 +152,8 @@
 		if err != nil {
 			return err
 		}
-		s.demo.printf("   daemon %d: status %d, replayed %q: %s", i+1, response.StatusCode, response.Header.Get("Idempotent-Replayed"), bytes.TrimSpace(body))
+		s.demo.printf("   daemon %d: status %d, replayed %q: %s", i+1, response.StatusCode,
+			response.Header.Get("Idempotent-Replayed"), bytes.TrimSpace(body))
 		bodies = append(bodies, body)
 	}
 	if !bytes.Equal(bodies[0], bodies[1]) {
--- a/turmericwallstand/internal/twexample/example.go
+++ b/turmericwallstand/internal/twexample/example.go
@@ -26,8 +26,8 @@
 func Arriola() Example {
 	return Example{
 		name: "arriola", document: arriola, region: "guate-central",
-		zones: []string{"zona-norte", "zona-sur", "zona-oficina"}, engineService: "brief-writers", model: "arriola-brief",
-		plainService: "agenda-desk", key: "arriola-demo-key",
+		zones: []string{"zona-norte", "zona-sur", "zona-oficina"},
+		engineService: "brief-writers", model: "arriola-brief", plainService: "agenda-desk", key: "arriola-demo-key",
 	}
 }
 
--- a/turmericwallstand/internal/twload/calls.go
+++ b/turmericwallstand/internal/twload/calls.go
@@ -118,7 +118,8 @@
 	path := map[string]string{"arriola": "/bookings", "sonnenmatt": "/medication"}[l.config.Example.Name()]
 	header := http.Header{"Idempotency-Key": {fmt.Sprintf("load-%d", number)}}
 	start := time.Now()
-	response, err := l.caller.Call(ctx, http.MethodPost, l.address(daemon, "/services/"+l.config.Example.PlainService()+path), header, number)
+	response, err := l.caller.Call(ctx, http.MethodPost,
+		l.address(daemon, "/services/"+l.config.Example.PlainService()+path), header, number)
 	if err != nil {
 		return Result{}
 	}
--- a/turmericwallstand/internal/twmeasure/control.go
+++ b/turmericwallstand/internal/twmeasure/control.go
@@ -81,7 +81,8 @@
 			return err
 		}
 	}
-	return m.printSeries("engines: one leader, three quarters of them decode, each with 20 attempts", "engines", reports, calls, steps)
+	return m.printSeries("engines: one leader, three quarters of them decode, each with 20 attempts", "engines",
+		reports, calls, steps)
 }
 
 // measurePlacements measures the peer traffic of a placement with prompts of growing length. Two thirds of the
@@ -103,7 +104,8 @@
 		before := placementBytes(ctx, site)
 		prompt := strings.Repeat("a", tokens*bytesPerToken)
 		for i := range requests {
-			if _, err := streamCompletion(ctx, site.CallerAddresses()[i%3], twexample.Arriola(), prompt, 1); err != nil {
+			if _, err := streamCompletion(ctx, site.CallerAddresses()[i%3],
+				twexample.Arriola(), prompt, 1); err != nil {
 				return err
 			}
 		}
@@ -147,7 +149,8 @@
 	done := make(chan struct{})
 	for i := range streams {
 		go func() {
-			_, _ = streamCompletion(inner, site.CallerAddresses()[i%len(site.CallerAddresses())], twexample.Arriola(), "wait", longAnswerTokens)
+			_, _ = streamCompletion(inner, site.CallerAddresses()[i%len(site.CallerAddresses())], twexample.Arriola(),
+				"wait", longAnswerTokens)
 			done <- struct{}{}
 		}()
 	}
--- a/turmericwallstand/internal/twmeasure/measure.go
+++ b/turmericwallstand/internal/twmeasure/measure.go
@@ -36,7 +36,9 @@
 // fails.
 func (m *Measure) Run(ctx context.Context) error {
 	parts := map[string]func(context.Context) error{
-		"members": m.measureMembers, "engines": m.measureEngines, "placements": m.measurePlacements, "document": m.measureDocument, "claims": m.measureClaims, "waiting": m.measureWaiting, "overhead": m.measureOverhead,
+		"members": m.measureMembers, "engines": m.measureEngines, "placements": m.measurePlacements,
+		"document": m.measureDocument, "claims": m.measureClaims, "waiting": m.measureWaiting,
+		"overhead": m.measureOverhead,
 	}
 	for _, name := range m.config.Parts {
 		part, ok := parts[name]
--- a/turmericwallstand/internal/twmeasure/parts.go
+++ b/turmericwallstand/internal/twmeasure/parts.go
@@ -127,7 +127,8 @@
 			return err
 		}
 	}
-	return m.printSeries("claims: bookings spread over six daemons, platform without latency", "calls/s", writes, commits, median)
+	return m.printSeries("claims: bookings spread over six daemons, platform without latency", "calls/s", writes,
+		commits, median)
 }
 
 // sendBookings sends bookings at the rate, per second, for the length, and returns the median time to the answer.
@@ -145,7 +146,8 @@
 			began := time.Now()
 			header := http.Header{"Idempotency-Key": {fmt.Sprintf("m-%d", i)}}
 			address := site.CallerAddresses()[i%len(site.CallerAddresses())]
-			response, err := caller.Call(ctx, http.MethodPost, "http://"+address+"/services/"+example.PlainService()+"/bookings", header, i)
+			response, err := caller.Call(ctx, http.MethodPost,
+				"http://"+address+"/services/"+example.PlainService()+"/bookings", header, i)
 			if err == nil {
 				err = response.Body.Close()
 			}
@@ -183,7 +185,8 @@
 			// The account's limit is 2,000 calls a second.
 			time.Sleep(time.Millisecond)
 			go func() {
-				_, _ = readCompletion(inner, site.CallerAddresses()[i%4], example, "dossier", streamedCompletion(example, "wait", 20_000))
+				_, _ = readCompletion(inner, site.CallerAddresses()[i%4], example, "dossier",
+					streamedCompletion(example, "wait", 20_000))
 				done <- struct{}{}
 			}()
 		}
@@ -200,7 +203,8 @@
 			return err
 		}
 	}
-	return m.printSeries("waiting: calls that wait for a place; callers, daemons and engines share the process", "calls", memory)
+	return m.printSeries("waiting: calls that wait for a place; callers, daemons and engines share the process",
+		"calls", memory)
 }
 
 type inFlightStatus struct {
@@ -261,7 +265,8 @@
 	used := processorTime()
 	for i := range requests {
 		start := time.Now()
-		if _, err := streamCompletion(ctx, site.CallerAddresses()[i%2], example, "a small question", tokens); err != nil {
+		if _, err := streamCompletion(ctx, site.CallerAddresses()[i%2],
+			example, "a small question", tokens); err != nil {
 			return err
 		}
 		all = append(all, time.Since(start))
--- a/turmericwallstand/internal/twmix/mix.go
+++ b/turmericwallstand/internal/twmix/mix.go
@@ -63,8 +63,14 @@
 // arriola returns the kinds of work of Arriola: visitors wait at the counter, and dossiers are deferrable.
 func arriola() []kind {
 	return []kind{
-		{work: "counter", share: 0.78, worth: 5, promptTokens: tokenRange{60, 900}, answerTokens: tokenRange{30, 90}, prefixes: 60, prefixShare: 0.6},
-		{work: "dossier", share: 0.12, worth: 2, deferrable: true, promptTokens: tokenRange{3000, 9000}, answerTokens: tokenRange{80, 160}, prefixes: 20, prefixShare: 0.9},
+		{
+			work: "counter", share: 0.78, worth: 5, promptTokens: tokenRange{60, 900}, answerTokens: tokenRange{30, 90},
+			prefixes: 60, prefixShare: 0.6,
+		},
+		{
+			work: "dossier", share: 0.12, worth: 2, deferrable: true, promptTokens: tokenRange{3000, 9000},
+			answerTokens: tokenRange{80, 160}, prefixes: 20, prefixShare: 0.9,
+		},
 		{work: "counter", share: 0.10, worth: 5, plain: true},
 	}
 }
@@ -73,9 +79,18 @@
 // pickup.
 func sonnenmatt() []kind {
 	return []kind{
-		{work: "diary", share: 0.50, worth: 4, promptTokens: tokenRange{200, 1200}, answerTokens: tokenRange{30, 80}, prefixes: 120, prefixShare: 0.7},
-		{work: "pickup", share: 0.35, worth: 3, promptTokens: tokenRange{800, 3000}, answerTokens: tokenRange{80, 160}, prefixes: 120, prefixShare: 0.8},
-		{work: "archive", share: 0.05, worth: 1, deferrable: true, promptTokens: tokenRange{2000, 6000}, answerTokens: tokenRange{60, 120}, prefixes: 20, prefixShare: 0.8},
+		{
+			work: "diary", share: 0.50, worth: 4, promptTokens: tokenRange{200, 1200}, answerTokens: tokenRange{30, 80},
+			prefixes: 120, prefixShare: 0.7,
+		},
+		{
+			work: "pickup", share: 0.35, worth: 3, promptTokens: tokenRange{800, 3000}, answerTokens: tokenRange{80, 160},
+			prefixes: 120, prefixShare: 0.8,
+		},
+		{
+			work: "archive", share: 0.05, worth: 1, deferrable: true, promptTokens: tokenRange{2000, 6000},
+			answerTokens: tokenRange{60, 120}, prefixes: 20, prefixShare: 0.8,
+		},
 		{work: "diary", share: 0.10, worth: 4, plain: true},
 	}
 }
--- a/turmericwallstand/internal/twservicestand/service.go
+++ b/turmericwallstand/internal/twservicestand/service.go
@@ -85,7 +85,8 @@
 	if faults.ResetAfterExecution > 0 {
 		return resetConnection(c)
 	}
-	return c.JSON(http.StatusOK, response{Service: s.name, Number: number, Path: c.Request().URL.Path, Echo: string(body)})
+	return c.JSON(http.StatusOK,
+		response{Service: s.name, Number: number, Path: c.Request().URL.Path, Echo: string(body)})
 }
 
 // recordCall records the call and returns its number, from 1 on, and the faults that apply to it.
--- a/turmericwallstand/internal/twsite/bench_test.go
+++ b/turmericwallstand/internal/twsite/bench_test.go
@@ -37,7 +37,8 @@
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			response, err := caller.Call(b.Context(), http.MethodPost, "http://"+site.CallerAddresses()[0]+"/v1/completions", nil,
+			response, err := caller.Call(b.Context(), http.MethodPost,
+				"http://"+site.CallerAddresses()[0]+"/v1/completions", nil,
 				twcaller.Completion{Model: example.Model(), Prompt: "which tables are free", MaxTokens: tokens, Stream: true})
 			if err != nil {
 				b.Error(err)
--- a/turmericwallstand/internal/twsite/client_test.go
+++ b/turmericwallstand/internal/twsite/client_test.go
@@ -23,7 +23,8 @@
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { g.Expect(site.Close()).To(Succeed()) }()
-	client := openai.NewClient(option.WithAPIKey(example.Key()), option.WithBaseURL("http://"+site.CallerAddresses()[0]+"/v1/"), option.WithMaxRetries(0))
+	client := openai.NewClient(option.WithAPIKey(example.Key()),
+		option.WithBaseURL("http://"+site.CallerAddresses()[0]+"/v1/"), option.WithMaxRetries(0))
 	models, err := client.Models.List(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(models.Data[0].ID).To(Equal(example.Model()))
--- a/turmericwallstand/internal/twsite/control.go
+++ b/turmericwallstand/internal/twsite/control.go
@@ -20,7 +20,8 @@
 func (s *Site) KillLeader() {
 	for i, address := range s.OperatorAddresses() {
 		var status twoperations.Status
-		if operatorsClient().ReadJSON(context.Background(), "http://"+address+"/status", &status) == nil && len(status.Keeps) > 0 {
+		if operatorsClient().ReadJSON(context.Background(), "http://"+address+"/status", &status) == nil &&
+			len(status.Keeps) > 0 {
 			s.daemons[i].Kill()
 			return
 		}
--- a/turmericwallstand/internal/twsite/session_test.go
+++ b/turmericwallstand/internal/twsite/session_test.go
@@ -79,7 +79,8 @@
 	var response *http.Response
 	var body []byte
 	g.Eventually(func() bool {
-		request, err := http.NewRequest(s.Method, "http://"+site.CallerAddresses()[s.Daemon]+s.Path, bytes.NewReader(s.Body))
+		request, err := http.NewRequest(s.Method, "http://"+site.CallerAddresses()[s.Daemon]+s.Path,
+			bytes.NewReader(s.Body))
 		g.Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Authorization", "Bearer "+example.Key())
 		request.Header.Set("X-Request-Id", "session")
--- a/turmericwallstand/internal/twsite/site.go
+++ b/turmericwallstand/internal/twsite/site.go
@@ -72,7 +72,10 @@
 func New(ctx context.Context, config Config) (*Site, error) {
 	ctx, stop := context.WithCancel(ctx)
 	s := &Site{config: config, tasks: twtask.New(ctx), stop: stop, platform: twplatformstand.New()}
-	steps := []func(context.Context) error{s.startPlatform, s.startEngines, s.startServices, s.applyDocument, s.startDaemons, s.awaitReady}
+	steps := []func(context.Context) error{
+		s.startPlatform, s.startEngines, s.startServices, s.applyDocument,
+		s.startDaemons, s.awaitReady,
+	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			_ = s.Close()
