--- a/turmericwallstand/internal/twexample/example.go
+++ b/turmericwallstand/internal/twexample/example.go
@@ -26,7 +26,7 @@
 func Arriola() Example {
 	return Example{
 		name: "arriola", document: arriola, region: "guate-central",
-		zones: []string{"zona-norte", "zona-sur", "zona-oficina"},
+		zones:         []string{"zona-norte", "zona-sur", "zona-oficina"},
 		engineService: "brief-writers", model: "arriola-brief", plainService: "agenda-desk", key: "arriola-demo-key",
 	}
 }
