--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -134,7 +134,7 @@
 	case <-ctx.Done():
 		c.withdraw(request)
 		return turmericwall.Placement{}, turmericwall.NewProblem(turmericwall.KindCancelled,
-			"the caller disconnected or its deadline passed", "retry the call")
+			"the caller left or its time is over", "call again")
 	}
 }
 
--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -76,7 +76,7 @@
 		if ctx.Err() != nil {
 			d.withdraw(request)
 			return turmericwall.Placement{}, turmericwall.NewProblem(turmericwall.KindCancelled,
-				"the caller disconnected or its deadline passed", "retry the call").WithCause(err)
+				"the caller left or its time is over", "call again").WithCause(err)
 		}
 		d.withdraw(request)
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
