--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -78,7 +78,7 @@
 	now := time.Now()
 	if reply.OverLimit {
 		return turmericwall.Placement{}, turmericwall.
-			NewProblem(turmericwall.KindOverLimit, reply.Reason, "retry at the time given").
+			NewProblem(turmericwall.KindOverLimit, reply.Reason, "retry after the delay in Retry-After").
 			WithRetryAt(now.Add(time.Duration(reply.RetryMillis) * time.Millisecond))
 	}
 	if reply.Refused {
--- a/internal/once/twforward/forwarder.go
+++ b/internal/once/twforward/forwarder.go
@@ -106,7 +106,7 @@
 	}
 	return nil, turmericwall.VM{}, turmericwall.NewProblem(turmericwall.KindNoUpstream,
 		fmt.Sprintf("no upstream of service %q accepts a connection", call.Service),
-		"retry at the time in Retry-After").WithRetryAt(f.clock.Now().Add(ejectionTime)).WithCause(lastErr)
+		"retry after the delay in Retry-After").WithRetryAt(f.clock.Now().Add(ejectionTime)).WithCause(lastErr)
 }
 
 func (f *Forwarder) send(
