--- a/internal/admission/twquota/rate_fleet_test.go
+++ b/internal/admission/twquota/rate_fleet_test.go
@@ -148,7 +148,7 @@
 // Admit passes a request from one daemon to another. The requesting daemon is not known here and needs no check: calls
 // are sent only through daemons that are not partitioned.
 func (f *rateFleet) Admit(
-	_ context.Context, address string, ask turmericwall.AdmitAsk,
+	_ context.Context, address string, ask turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
 	index, _ := utf8.DecodeRuneInString(address)
 	d := f.daemons[index-'A']
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -125,7 +125,7 @@
 	if count == 0 {
 		return err
 	}
-	request := turmericwall.AdmitAsk{Rate: stated, Count: count}
+	request := turmericwall.AdmitRequest{Rate: stated, Count: count}
 	for _, candidate := range t.coordinatorCandidates() {
 		reply, err := t.requestGrant(ctx, candidate, request)
 		if err != nil || reply.Declined {
@@ -190,7 +190,7 @@
 
 // requestGrant requests sends from one daemon, which may be this one.
 func (t *Throttle) requestGrant(
-	ctx context.Context, candidate turmericwall.Member, request turmericwall.AdmitAsk,
+	ctx context.Context, candidate turmericwall.Member, request turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
 	if candidate == t.config.Self {
 		return t.Grant(request), nil
@@ -276,7 +276,7 @@
 }
 
 // Grant answers a daemon's request for sends. The reply is declined if this daemon is not the rate coordinator.
-func (t *Throttle) Grant(request turmericwall.AdmitAsk) turmericwall.AdmitReply {
+func (t *Throttle) Grant(request turmericwall.AdmitRequest) turmericwall.AdmitReply {
 	t.config.Rates.TakeList([]turmericwall.UpstreamRate{request.Rate})
 	if !t.updateCoordinating() {
 		return turmericwall.AdmitReply{Declined: true}
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -25,10 +25,12 @@
 type fakePeers struct {
 	turmericwall.PeerClient
 	reply    turmericwall.AdmitReply
-	requests []turmericwall.AdmitAsk
+	requests []turmericwall.AdmitRequest
 }
 
-func (p *fakePeers) Admit(ctx context.Context, _ string, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+func (p *fakePeers) Admit(
+	ctx context.Context, _ string, ask turmericwall.AdmitRequest,
+) (turmericwall.AdmitReply, error) {
 	p.requests = append(p.requests, ask)
 	return p.reply, ctx.Err()
 }
--- a/internal/delivery/twrelay/failing_test.go
+++ b/internal/delivery/twrelay/failing_test.go
@@ -25,7 +25,7 @@
 	w, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Code).To(Equal(500), "the engine's answer is passed on unchanged")
-	g.Expect(s.placer.ends[len(s.placer.ends)-1].Failed).To(Equal("d1"))
+	g.Expect(s.placer.ends[len(s.placer.ends)-1].FailedEngine).To(Equal("d1"))
 }
 
 // A decode engine accepts calls and never answers. If the placer does not learn of it, each further call waits there
@@ -42,7 +42,7 @@
 	_, _ = s.serve(ctx, "/m/x")
 	s.placer.mu.Lock()
 	defer s.placer.mu.Unlock()
-	report := turmericwall.PlacementEnd{ID: "id1/0", Service: "engines", Running: true, Failed: "d1"}
+	report := turmericwall.PlacementEnd{ID: "id1/0", Service: "engines", Running: true, FailedEngine: "d1"}
 	g.Expect(s.placer.ends).To(ContainElement(report))
 	g.Expect(s.upstreams.sentTo()).To(Equal([]string{"d1"}), "the call may run there and must not be sent again")
 }
@@ -59,7 +59,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Code).To(Equal(200))
 	g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{"hangs"}))
-	g.Expect(s.placer.ends[0].Failed).To(Equal("hangs"))
+	g.Expect(s.placer.ends[0].FailedEngine).To(Equal("hangs"))
 }
 
 // Exports expire before they are imported. If their prefill engines counted as failed, no prefill engine would be left.
@@ -75,7 +75,7 @@
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, end := range s.placer.ends {
-		g.Expect(end.Failed).To(BeEmpty())
+		g.Expect(end.FailedEngine).To(BeEmpty())
 	}
 	g.Expect(s.placer.ends).To(ContainElement(HaveField("Doubted", "p1")))
 }
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -130,12 +130,12 @@
 type fakePlacer struct {
 	mu         sync.Mutex
 	placements []turmericwall.Placement
-	requests   []turmericwall.PlaceAsk
+	requests   []turmericwall.PlaceRequest
 	ends       []turmericwall.PlacementEnd
 	refusal    error
 }
 
-func (p *fakePlacer) Place(_ context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (p *fakePlacer) Place(_ context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests = append(p.requests, request)
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -62,7 +62,7 @@
 	}
 	avoid = slices.Concat(avoid, closed)
 	target := a.call.ReceivedAt.Add(time.Duration(a.route.TargetMillis) * time.Millisecond)
-	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceAsk{
+	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceRequest{
 		ID: a.call.ID + "/" + strconv.Itoa(attemptNumber), Service: a.service.Name, Owner: r.config.Daemon,
 		Zone: r.config.Zone, Work: a.call.Work, TargetDeadline: target, GiveUpDeadline: a.deadline,
 		CallerDeadline: a.call.Deadline, Avoid: avoid,
@@ -142,9 +142,9 @@
 	if err != nil {
 		r.returnAdmissions(p.Decode, p.Prefill)
 		if errors.Is(err, errNoMemory) {
-			end.Full = p.Decode.ID
+			end.FullEngine = p.Decode.ID
 		} else {
-			end.Failed = p.Decode.ID
+			end.FailedEngine = p.Decode.ID
 			*avoid = append(*avoid, p.Decode.ID)
 		}
 		return false, notRunProblem(err)
@@ -188,17 +188,17 @@
 	}
 	if err != nil {
 		if !errors.Is(err, errBackOff) {
-			end.Failed = p.Prefill.ID
+			end.FailedEngine = p.Prefill.ID
 		}
 		*avoid = append(*avoid, p.Prefill.ID)
 		return false, notRunProblem(err)
 	}
 	out.Step = turmericwall.StepImport
-	end.PromptRead = true
+	end.Prefilled = true
 	end.PromptMillis = time.Since(began).Milliseconds()
 	a.stats.prefilledMillis = a.elapsedMillis()
 	r.config.Placer.Finish(turmericwall.PlacementEnd{
-		ID: p.ID, Service: end.Service, Running: true, PromptRead: true,
+		ID: p.ID, Service: end.Service, Running: true, Prefilled: true,
 		PromptMillis: end.PromptMillis,
 	})
 	return false, nil
@@ -252,7 +252,9 @@
 		wait += 2 * max(time.Until(p.ReadDeadline), 0)
 	}
 	return time.AfterFunc(wait, func() {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: p.ID, Service: service, Running: true, Failed: p.Decode.ID})
+		r.config.Placer.Finish(
+			turmericwall.PlacementEnd{ID: p.ID, Service: service, Running: true, FailedEngine: p.Decode.ID},
+		)
 	})
 }
 
@@ -271,7 +273,7 @@
 	var sent *turmericwall.SendError
 	if !errors.As(err, &sent) || !sent.Safe() {
 		if ctx.Err() == nil {
-			end.Failed = p.Decode.ID
+			end.FailedEngine = p.Decode.ID
 		}
 		return true, sendProblem(err)
 	}
@@ -279,12 +281,12 @@
 	case sent.NotRun && !sent.Gone && p.Prefill.ID != "":
 		// Either the export expired, or the decode engine refuses calls although it granted the reservation. This call
 		// avoids both; the engine that works is cleared by its next success.
-		end.Full, end.Doubted = p.Decode.ID, p.Prefill.ID
+		end.FullEngine, end.SuspectedEngine = p.Decode.ID, p.Prefill.ID
 		*avoid = append(*avoid, p.Prefill.ID, p.Decode.ID)
 	case sent.NotRun && !sent.Gone:
-		end.Full = p.Decode.ID
+		end.FullEngine = p.Decode.ID
 	default:
-		end.Failed = p.Decode.ID
+		end.FailedEngine = p.Decode.ID
 		*avoid = append(*avoid, p.Decode.ID)
 	}
 	return false, notRunProblem(err)
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -64,7 +64,7 @@
 	g.Expect(w.Code).To(Equal(503))
 	g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 	g.Expect(s.upstreams.prefills).To(BeZero())
-	g.Expect(s.placer.ends[0].Full).To(Equal("d1"))
+	g.Expect(s.placer.ends[0].FullEngine).To(Equal("d1"))
 }
 
 // The export expires before the decode engine imports it. The second prefill must count against the retry budget like
@@ -107,7 +107,7 @@
 	w, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
 	g.Expect(w.Body.String()).To(Equal(events(1, 2)))
-	g.Expect(s.placer.ends[len(s.placer.ends)-1].Failed).To(Equal("d1"))
+	g.Expect(s.placer.ends[len(s.placer.ends)-1].FailedEngine).To(Equal("d1"))
 }
 
 // slowBody pauses before its last part.
@@ -412,5 +412,5 @@
 	g.Expect(w.Code).To(Equal(200))
 	g.Expect(time.Since(began)).To(BeNumerically("<", 900*time.Millisecond))
 	g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{"d1"}))
-	g.Expect(s.placer.ends[0].Failed).To(Equal("d1"))
+	g.Expect(s.placer.ends[0].FailedEngine).To(Equal("d1"))
 }
--- a/internal/delivery/twrelay/move.go
+++ b/internal/delivery/twrelay/move.go
@@ -91,7 +91,7 @@
 	work.PromptTokens = request.heldTokens
 	work.HintTokens = max(work.HintTokens-generatedTokens, a.service.Engine.TokensPerEvent)
 	work.MaxTokens = max(work.MaxTokens-generatedTokens, a.service.Engine.TokensPerEvent)
-	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceAsk{
+	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceRequest{
 		ID: fmt.Sprintf("%s/m%d", a.call.ID, request.sequence), Service: a.service.Name, Owner: r.config.Daemon,
 		Zone: request.from.Zone, Work: work, TargetDeadline: a.deadline, GiveUpDeadline: a.deadline,
 		CallerDeadline: a.call.Deadline, EventGapMillis: a.route.EventGapMillis, Moving: true,
--- a/internal/delivery/twrelay/stream.go
+++ b/internal/delivery/twrelay/stream.go
@@ -41,7 +41,7 @@
 	}
 	if answer.Status >= http.StatusMultipleChoices {
 		if answer.Status >= http.StatusInternalServerError {
-			end.Failed = p.Decode.ID
+			end.FailedEngine = p.Decode.ID
 		}
 		buffered, complete, err := bufferBody(answer)
 		if err != nil {
@@ -72,7 +72,7 @@
 		end.AnswerMillis = time.Since(s.firstEventAt).Milliseconds()
 	}
 	if err != nil && ctx.Err() == nil {
-		end.Failed = s.engine.ID
+		end.FailedEngine = s.engine.ID
 	}
 	return err
 }
@@ -178,13 +178,13 @@
 
 // reportPrefill reports the duration of a local prefill to the placer.
 func (s *answerStream) reportPrefill() {
-	if s.end.PromptRead {
+	if s.end.Prefilled {
 		return
 	}
-	s.end.PromptRead = true
+	s.end.Prefilled = true
 	s.end.PromptMillis = s.attempt.stats.firstEventMillis - s.attempt.stats.placedMillis
 	s.relay.config.Placer.Finish(turmericwall.PlacementEnd{
-		ID: s.end.ID, Service: s.end.Service, Running: true, PromptRead: true, PromptMillis: s.end.PromptMillis,
+		ID: s.end.ID, Service: s.end.Service, Running: true, Prefilled: true, PromptMillis: s.end.PromptMillis,
 	})
 }
 
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -123,7 +123,9 @@
 	return cluster.Heard(heartbeat), nil
 }
 
-func (n *network) State(_ context.Context, address string, _ turmericwall.StateAsk) (turmericwall.SharedState, error) {
+func (n *network) FetchState(
+	_ context.Context, address string, _ turmericwall.StateRequest,
+) (turmericwall.SharedState, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	cluster, ok := n.clusters[address]
@@ -134,14 +136,16 @@
 	return turmericwall.SharedState{Members: members, MembersVersion: version}, nil
 }
 
-func (n *network) Place(context.Context, string, turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (n *network) Place(context.Context, string, turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	return turmericwall.Placement{}, nil
 }
 
 func (n *network) Finish(context.Context, string, []turmericwall.PlacementEnd) error { return nil }
-func (n *network) Runs(context.Context, string, []turmericwall.PlacedRun) error      { return nil }
+func (n *network) ReportPlacedCalls(context.Context, string, []turmericwall.PlacedCall) error {
+	return nil
+}
 
-func (n *network) Admit(context.Context, string, turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+func (n *network) Admit(context.Context, string, turmericwall.AdmitRequest) (turmericwall.AdmitReply, error) {
 	return turmericwall.AdmitReply{}, nil
 }
 
@@ -229,7 +233,7 @@
 		LeaseVersion: d.election.Version, LeaseTold: d.election.Told, ReadAt: d.readAt,
 		Outranked: d.election.Yield, Nominated: d.election.Nominate,
 		Behind: func(ctx context.Context, other turmericwall.Member) {
-			if state, err := n.State(ctx, other.Address, turmericwall.StateAsk{}); err == nil {
+			if state, err := n.FetchState(ctx, other.Address, turmericwall.StateRequest{}); err == nil {
 				d.cluster.AddMembers(state.MembersVersion, state.Members)
 			}
 		},
--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -49,9 +49,9 @@
 	return reply, c.call(ctx, address, pathHeartbeat, heartbeat, &reply)
 }
 
-// State requests routes and upstreams from a daemon.
-func (c *Client) State(
-	ctx context.Context, address string, ask turmericwall.StateAsk,
+// FetchState requests routes and upstreams from a daemon.
+func (c *Client) FetchState(
+	ctx context.Context, address string, ask turmericwall.StateRequest,
 ) (turmericwall.SharedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -70,7 +70,9 @@
 
 // Place requests a placement from the leader and waits for its decision. A refusal is returned as a
 // turmericwall.Problem, a failed call as another error.
-func (c *Client) Place(ctx context.Context, address string, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (c *Client) Place(
+	ctx context.Context, address string, ask turmericwall.PlaceRequest,
+) (turmericwall.Placement, error) {
 	var reply wirePlaceReply
 	if err := c.call(ctx, address, pathPlace, encodePlaceRequest(time.Now(), ask), &reply); err != nil {
 		return turmericwall.Placement{}, err
@@ -101,21 +103,21 @@
 	return c.call(ctx, address, pathFinish, ends, nil)
 }
 
-// Runs reports this daemon's calls under way to a new leader.
-func (c *Client) Runs(ctx context.Context, address string, runs []turmericwall.PlacedRun) error {
+// ReportPlacedCalls reports this daemon's calls under way to a new leader.
+func (c *Client) ReportPlacedCalls(ctx context.Context, address string, runs []turmericwall.PlacedCall) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := time.Now()
 	list := make([]wireRun, 0, len(runs))
 	for _, r := range runs {
-		list = append(list, wireRun{Ask: encodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis})
+		list = append(list, wireRun{Ask: encodePlaceRequest(now, r.Request), Engine: r.Engine, AgeMillis: r.AgeMillis})
 	}
 	return c.call(ctx, address, pathRuns, list, nil)
 }
 
 // Admit requests sends to an upstream that states a rate from the rate coordinator. Its time limit is that of ctx.
 func (c *Client) Admit(
-	ctx context.Context, address string, ask turmericwall.AdmitAsk,
+	ctx context.Context, address string, ask turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
 	var reply turmericwall.AdmitReply
 	return reply, c.call(ctx, address, pathAdmit, ask, &reply)
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -58,7 +58,7 @@
 				rates.TakeList(h.Rates)
 				return turmericwall.HeartbeatReply{}
 			},
-			State: func(ask turmericwall.StateAsk) turmericwall.SharedState {
+			State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
 				if ask.Joining != nil {
 					quotas.Report(
 						ask.Joining.Incarnation, time.Duration(ask.Joining.UpMillis)*time.Millisecond, ask.Joining.Uses)
@@ -66,17 +66,17 @@
 				return turmericwall.SharedState{}
 			},
 			Keeps: func() bool { return true },
-			Place: func(_ context.Context, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+			Place: func(_ context.Context, ask turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 				return turmericwall.Placement{ID: ask.ID}, quotas.Charge(ask.Account, ask.Units)
 			},
-			Admit: func(ask turmericwall.AdmitAsk) turmericwall.AdmitReply {
+			Admit: func(ask turmericwall.AdmitRequest) turmericwall.AdmitReply {
 				reply := throttle.Grant(ask)
 				if reply.Granted > max(ask.Count, 0) || reply.NextMillis < 0 || reply.RetryMillis < 0 {
 					t.Fatalf("request %+v was answered by %+v", ask, reply)
 				}
 				return reply
 			},
-			Finish: func(turmericwall.PlacementEnd) {}, Adopt: func(turmericwall.PlacedRun) {},
+			Finish: func(turmericwall.PlacementEnd) {}, Adopt: func(turmericwall.PlacedCall) {},
 		})
 		request := httptest.NewRequest(http.MethodPost, "/peer/heartbeat", bytes.NewReader(body))
 		request.URL.Path = path
--- a/internal/membership/twpeerhttp/messages.go
+++ b/internal/membership/twpeerhttp/messages.go
@@ -57,7 +57,7 @@
 }
 
 // encodePlaceRequest returns the request as it is sent at the time now.
-func encodePlaceRequest(now time.Time, ask turmericwall.PlaceAsk) wirePlaceRequest {
+func encodePlaceRequest(now time.Time, ask turmericwall.PlaceRequest) wirePlaceRequest {
 	return wirePlaceRequest{
 		ID: ask.ID, Service: ask.Service, Owner: ask.Owner, Zone: ask.Zone, Work: ask.Work,
 		TargetMillis: ask.TargetDeadline.Sub(now).Milliseconds(),
@@ -73,8 +73,8 @@
 }
 
 // decodePlaceRequest returns a request that was received at the time now.
-func decodePlaceRequest(now time.Time, ask wirePlaceRequest) turmericwall.PlaceAsk {
-	return turmericwall.PlaceAsk{
+func decodePlaceRequest(now time.Time, ask wirePlaceRequest) turmericwall.PlaceRequest {
+	return turmericwall.PlaceRequest{
 		ID: ask.ID, Service: ask.Service, Owner: ask.Owner, Zone: ask.Zone, Work: ask.Work,
 		TargetDeadline: now.Add(time.Duration(ask.TargetMillis) * time.Millisecond),
 		GiveUpDeadline: now.Add(time.Duration(ask.GiveUpMillis) * time.Millisecond),
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -25,9 +25,9 @@
 }
 
 // placeRequest returns a request for a placement with all fields that are sent.
-func placeRequest() turmericwall.PlaceAsk {
+func placeRequest() turmericwall.PlaceRequest {
 	now := time.Now()
-	return turmericwall.PlaceAsk{
+	return turmericwall.PlaceRequest{
 		ID: "1/0", Service: "s", Owner: "o", Zone: "z", Work: turmericwall.ModelWork{PromptTokens: 10, Subject: "x"},
 		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(2 * time.Second),
 		CallerDeadline: now.Add(3 * time.Second),
@@ -40,7 +40,7 @@
 	want := placeRequest()
 	address := serve(t, twpeerhttp.Config{
 		Keeps: func() bool { return true },
-		Place: func(_ context.Context, got turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+		Place: func(_ context.Context, got turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 			g.Expect(got.TargetDeadline).To(BeTemporally("~", want.TargetDeadline, 200*time.Millisecond))
 			g.Expect(got.CallerDeadline).To(BeTemporally("~", want.CallerDeadline, 200*time.Millisecond))
 			got.TargetDeadline, got.GiveUpDeadline, got.CallerDeadline = want.TargetDeadline, want.GiveUpDeadline, want.CallerDeadline
@@ -62,7 +62,7 @@
 	g := NewWithT(t)
 	address := serve(t, twpeerhttp.Config{
 		Keeps: func() bool { return true },
-		Place: func(context.Context, turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+		Place: func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 			return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{
 				Reason: "full", RetryAt: time.Now().Add(2 * time.Second),
 			})
@@ -86,7 +86,7 @@
 func TestFinishRunsHeartbeatAndStateKeepTheirFields(t *testing.T) {
 	g := NewWithT(t)
 	var ended []turmericwall.PlacementEnd
-	var adopted []turmericwall.PlacedRun
+	var adopted []turmericwall.PlacedCall
 	me := turmericwall.HeartbeatReply{
 		Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UpMillis: 7,
 	}
@@ -100,27 +100,29 @@
 				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}}))
 			return me
 		},
-		State: func(ask turmericwall.StateAsk) turmericwall.SharedState {
+		State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
 			g.Expect(ask.UpstreamsPosition).To(BeEquivalentTo(8))
 			return state
 		},
 		Finish: func(end turmericwall.PlacementEnd) { ended = append(ended, end) },
-		Adopt:  func(run turmericwall.PlacedRun) { adopted = append(adopted, run) },
+		Adopt:  func(run turmericwall.PlacedCall) { adopted = append(adopted, run) },
 	})
 	c, ctx := twpeerhttp.NewClient(), context.Background()
 	g.Expect(c.Finish(ctx, address, []turmericwall.PlacementEnd{
-		{ID: "1", Running: true, PromptRead: true, PromptMillis: 5},
+		{ID: "1", Running: true, Prefilled: true, PromptMillis: 5},
 	})).To(Succeed())
-	g.Expect(ended).To(Equal([]turmericwall.PlacementEnd{{ID: "1", Running: true, PromptRead: true, PromptMillis: 5}}))
-	g.Expect(c.Runs(ctx, address, []turmericwall.PlacedRun{
-		{Ask: placeRequest(), Engine: "d", AgeMillis: -40},
+	g.Expect(ended).To(Equal([]turmericwall.PlacementEnd{{ID: "1", Running: true, Prefilled: true, PromptMillis: 5}}))
+	g.Expect(c.ReportPlacedCalls(ctx, address, []turmericwall.PlacedCall{
+		{Request: placeRequest(), Engine: "d", AgeMillis: -40},
 	})).To(Succeed())
-	g.Expect([]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Ask.ID}).To(Equal([]any{"d", int64(-40), "1/0"}))
+	g.Expect(
+		[]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Request.ID},
+	).To(Equal([]any{"d", int64(-40), "1/0"}))
 	got, err := c.Heartbeat(ctx, address, turmericwall.Heartbeat{
 		Term: 3, Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}},
 	})
 	g.Expect([]any{got, err}).To(Equal([]any{me, nil}))
-	received, err := c.State(ctx, address, turmericwall.StateAsk{UpstreamsPosition: 8})
+	received, err := c.FetchState(ctx, address, turmericwall.StateRequest{UpstreamsPosition: 8})
 	g.Expect([]any{received, err}).To(Equal([]any{state, nil}))
 }
 
@@ -131,7 +133,7 @@
 	}))
 	defer server.Close()
 	_, err := twpeerhttp.NewClient().
-		State(context.Background(), strings.TrimPrefix(server.URL, "http://"), turmericwall.StateAsk{})
+		FetchState(context.Background(), strings.TrimPrefix(server.URL, "http://"), turmericwall.StateRequest{})
 	g.Expect(err).To(MatchError(ContainSubstring("unpack the plan")))
 }
 
@@ -145,18 +147,20 @@
 			ID: fmt.Sprint("i-", n), Service: "s", Address: fmt.Sprint("10.0.0.1:", n), Zone: "z",
 		})
 	}
-	address := serve(t, twpeerhttp.Config{State: func(turmericwall.StateAsk) turmericwall.SharedState { return state }})
+	address := serve(
+		t, twpeerhttp.Config{State: func(turmericwall.StateRequest) turmericwall.SharedState { return state }},
+	)
 	response, err := http.Post("http://"+address+"/peer/state", "application/json", strings.NewReader("{}"))
 	g.Expect(err).NotTo(HaveOccurred())
 	body, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(body)).To(BeNumerically("<", 64<<10))
-	received, err := twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
+	received, err := twpeerhttp.NewClient().FetchState(context.Background(), address, turmericwall.StateRequest{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(received.Upstreams).To(Equal(state.Upstreams))
 	state.UpstreamsPosition, state.Upstreams = 10, state.Upstreams[:1]
-	received, err = twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
+	received, err = twpeerhttp.NewClient().FetchState(context.Background(), address, turmericwall.StateRequest{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(received.Upstreams).To(HaveLen(1), "a newer list is compressed anew")
 }
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -22,12 +22,12 @@
 // Config holds the functions that answer the calls. Keeps reports whether this daemon may place calls as the leader.
 type Config struct {
 	Heard  func(turmericwall.Heartbeat) turmericwall.HeartbeatReply
-	State  func(turmericwall.StateAsk) turmericwall.SharedState
+	State  func(turmericwall.StateRequest) turmericwall.SharedState
 	Keeps  func() bool
-	Place  func(context.Context, turmericwall.PlaceAsk) (turmericwall.Placement, error)
+	Place  func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error)
 	Finish func(turmericwall.PlacementEnd)
-	Adopt  func(turmericwall.PlacedRun)
-	Admit  func(turmericwall.AdmitAsk) turmericwall.AdmitReply
+	Adopt  func(turmericwall.PlacedCall)
+	Admit  func(turmericwall.AdmitRequest) turmericwall.AdmitReply
 }
 
 // Server is the HTTP handler of the calls from peers.
@@ -68,7 +68,7 @@
 }
 
 func (s *Server) state(w http.ResponseWriter, request *http.Request) {
-	var ask turmericwall.StateAsk
+	var ask turmericwall.StateRequest
 	if !readJSON(w, request, &ask) {
 		return
 	}
@@ -181,15 +181,15 @@
 	}
 	now := time.Now()
 	for _, r := range runs {
-		s.config.Adopt(turmericwall.PlacedRun{
-			Ask: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis,
+		s.config.Adopt(turmericwall.PlacedCall{
+			Request: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis,
 		})
 	}
 	writeJSON(w, struct{}{})
 }
 
 func (s *Server) admit(w http.ResponseWriter, request *http.Request) {
-	var ask turmericwall.AdmitAsk
+	var ask turmericwall.AdmitRequest
 	if readJSON(w, request, &ask) {
 		writeJSON(w, s.config.Admit(ask))
 	}
--- a/internal/placement/twbooks/bench_test.go
+++ b/internal/placement/twbooks/bench_test.go
@@ -27,8 +27,9 @@
 	allocator.SetEngines(start, engines(3, decodes))
 	id := func(i, j int) string { return fmt.Sprintf("r%d-%d", i, j) }
 	adoptRun := func(i, j int) {
-		allocator.Adopt(start, turmericwall.PlacedRun{
-			Ask: placeRequest(id(i, j), start, 8000, 3500), Engine: fmt.Sprintf("d%02d", i), AgeMillis: int64(100 * j),
+		allocator.Adopt(start, turmericwall.PlacedCall{
+			Request: placeRequest(id(i, j), start, 8000, 3500), Engine: fmt.Sprintf("d%02d", i),
+			AgeMillis: int64(100 * j),
 		})
 	}
 	for i := range decodes {
--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -103,7 +103,7 @@
 
 // waitingCall is a call that has neither been placed nor refused.
 type waitingCall struct {
-	request    turmericwall.PlaceAsk
+	request    turmericwall.PlaceRequest
 	enqueuedAt time.Time
 	// isRetry is set when the caller was refused before.
 	isRetry bool
@@ -167,7 +167,7 @@
 
 // Enqueue adds a call that waits for its placement. The target deadline of a retry is counted from the caller's first
 // attempt.
-func (a *Books) Enqueue(now time.Time, request turmericwall.PlaceAsk) {
+func (a *Books) Enqueue(now time.Time, request turmericwall.PlaceRequest) {
 	if request.Moving {
 		a.waiting = append(a.waiting, &waitingCall{request: request, enqueuedAt: now})
 		return
@@ -220,20 +220,20 @@
 }
 
 // Adopt adds a call that was placed by another daemon. Calls on unknown engines are ignored.
-func (a *Books) Adopt(now time.Time, placed turmericwall.PlacedRun) {
+func (a *Books) Adopt(now time.Time, placed turmericwall.PlacedCall) {
 	e, ok := a.engines[placed.Engine]
-	if !ok || a.engineByCall[placed.Ask.ID] != "" {
+	if !ok || a.engineByCall[placed.Request.ID] != "" {
 		return
 	}
-	e.runs[placed.Ask.ID] = &run{
-		owner: placed.Ask.Owner, work: placed.Ask.Work, prefilling: placed.AgeMillis < 0,
+	e.runs[placed.Request.ID] = &run{
+		owner: placed.Request.Owner, work: placed.Request.Work, prefilling: placed.AgeMillis < 0,
 		firstTokenAt: now.Add(-time.Duration(placed.AgeMillis) * time.Millisecond),
 	}
-	a.engineByCall[placed.Ask.ID] = placed.Engine
+	a.engineByCall[placed.Request.ID] = placed.Engine
 	e.memoryProjection = nil
-	a.callers.recordAttempt(now, placed.Ask)
+	a.callers.recordAttempt(now, placed.Request)
 	if placed.AgeMillis >= 0 {
-		a.callers.recordEngine(now, placed.Ask.Work, e)
+		a.callers.recordEngine(now, placed.Request.Work, e)
 	}
 }
 
@@ -252,23 +252,23 @@
 // ApplyUpdate applies a report on a placed call: a failed or full engine, the end of its prefill, a pause of its stream
 // or its end.
 func (a *Books) ApplyUpdate(now time.Time, end turmericwall.PlacementEnd) {
-	if e, ok := a.engines[end.Full]; ok {
+	if e, ok := a.engines[end.FullEngine]; ok {
 		e.fullRefusals = min(e.fullRefusals+1, 4)
 		e.backoffUntil = now.Add(millis(a.tuning.FullBackoffMillis * float64(e.fullRefusals)))
 	}
-	if e, ok := a.engines[end.Doubted]; ok {
+	if e, ok := a.engines[end.SuspectedEngine]; ok {
 		e.backoffUntil = now.Add(millis(a.tuning.SuspectBackoffMillis))
 	}
-	if _, ok := a.engines[end.Failed]; ok {
-		a.ejections.RecordFailure(now, end.Failed)
+	if _, ok := a.engines[end.FailedEngine]; ok {
+		a.ejections.RecordFailure(now, end.FailedEngine)
 	}
-	if at, ok := a.engineByCall[end.ID]; ok && end.AnswerTokens > 0 && end.Failed == "" {
+	if at, ok := a.engineByCall[end.ID]; ok && end.AnswerTokens > 0 && end.FailedEngine == "" {
 		a.ejections.RecordSuccess(now, at)
 	}
 	if end.AnswerMillis > minMeasuredMillis && end.AnswerTokens > 0 {
 		a.recordAnswer(end)
 	}
-	if end.PromptRead {
+	if end.Prefilled {
 		a.recordPrefill(now, end)
 	}
 	if end.Paused {
--- a/internal/placement/twbooks/books_test.go
+++ b/internal/placement/twbooks/books_test.go
@@ -41,8 +41,8 @@
 	return a
 }
 
-func placeRequest(id string, at time.Time, prompt, hint int) turmericwall.PlaceAsk {
-	return turmericwall.PlaceAsk{
+func placeRequest(id string, at time.Time, prompt, hint int) turmericwall.PlaceRequest {
+	return turmericwall.PlaceRequest{
 		ID: id, Service: "s", Owner: "o", Zone: "z",
 		Work:           turmericwall.ModelWork{PromptTokens: prompt, HintTokens: hint, MaxTokens: 6500, Subject: id},
 		TargetDeadline: at.Add(time.Second), GiveUpDeadline: at.Add(14 * time.Second),
@@ -87,7 +87,7 @@
 	a.SetEngines(start, list)
 	a.Enqueue(start, placeRequest("a", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed[0].Decode.ID).To(Equal("d01"))
-	a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: "a", Full: "d01"})
+	a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: "a", FullEngine: "d01"})
 	a.Enqueue(start, placeRequest("b", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed).To(BeEmpty())
 	a.Decide(start.Add(200 * time.Millisecond))
@@ -155,10 +155,10 @@
 	a.Enqueue(start, placeRequest("a", start, 2000, 3000))
 	g.Expect(a.Decide(start).Placed).To(HaveLen(1), "an idle engine has no streams to delay")
 	later := start.Add(300 * time.Millisecond)
-	a.ApplyUpdate(later, turmericwall.PlacementEnd{ID: "a", Running: true, PromptRead: true, PromptMillis: 100})
+	a.ApplyUpdate(later, turmericwall.PlacementEnd{ID: "a", Running: true, Prefilled: true, PromptMillis: 100})
 	for i := range 4 {
-		a.Adopt(later, turmericwall.PlacedRun{
-			Ask: placeRequest(fmt.Sprint("other", i), later, 2000, 3000), Engine: "d00", AgeMillis: 200,
+		a.Adopt(later, turmericwall.PlacedCall{
+			Request: placeRequest(fmt.Sprint("other", i), later, 2000, 3000), Engine: "d00", AgeMillis: 200,
 		})
 	}
 	a.Enqueue(later, placeRequest("long", later, 9000, 3000))
@@ -183,7 +183,7 @@
 		a.Enqueue(at, slow)
 		a.Decide(at)
 		at = at.Add(2 * time.Second)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, PromptRead: true, PromptMillis: 2000})
+		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, Prefilled: true, PromptMillis: 2000})
 		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id})
 	}
 	a.Enqueue(at, placeRequest("now", at, 5000, 300))
@@ -203,7 +203,7 @@
 		a.Enqueue(at, placeRequest(id, at, 5000, 300))
 		g.Expect(a.Decide(at).Placed).To(HaveLen(1))
 		at = at.Add(2 * time.Second)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, PromptRead: true, PromptMillis: 2000})
+		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, Prefilled: true, PromptMillis: 2000})
 		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id})
 	}
 }
@@ -251,11 +251,11 @@
 	g := NewWithT(t)
 	a := newAllocator(1, 1)
 	for i := range 8 {
-		a.Adopt(start, turmericwall.PlacedRun{
-			Ask: placeRequest(fmt.Sprintf("r%d", i), start, 8000, 6000), Engine: "d00", AgeMillis: 100,
+		a.Adopt(start, turmericwall.PlacedCall{
+			Request: placeRequest(fmt.Sprintf("r%d", i), start, 8000, 6000), Engine: "d00", AgeMillis: 100,
 		})
 	}
-	a.Adopt(start, turmericwall.PlacedRun{Ask: placeRequest("x", start, 8000, 6000), Engine: "unknown"})
+	a.Adopt(start, turmericwall.PlacedCall{Request: placeRequest("x", start, 8000, 6000), Engine: "unknown"})
 	a.Enqueue(start, placeRequest("a", start, 8000, 6000))
 	g.Expect(a.Decide(start).Placed).To(BeEmpty())
 }
@@ -355,7 +355,7 @@
 		sim.heldPrompts[e.engine][e.id] = float64(e.work.PromptTokens)
 		sim.startedAt[e.id] = e.at
 		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementEnd{
-			ID: e.id, Running: true, PromptRead: true, PromptMillis: 100,
+			ID: e.id, Running: true, Prefilled: true, PromptMillis: 100,
 		})
 		sim.events = append(sim.events, event{
 			at:   e.at.Add(time.Duration(float64(sim.answerTokens[e.id])/decodeSpeed) * time.Millisecond),
@@ -451,7 +451,7 @@
 	for i := range 20 {
 		for _, engine := range []string{"d00", "d01"} {
 			id := fmt.Sprintf("%s-%d", engine, i)
-			a.Adopt(now, turmericwall.PlacedRun{Ask: placeRequest(id, now, 5000, 3000), Engine: engine})
+			a.Adopt(now, turmericwall.PlacedCall{Request: placeRequest(id, now, 5000, 3000), Engine: engine})
 			took := int64(3000)
 			if engine == "d00" {
 				took = 4500
@@ -461,8 +461,8 @@
 	}
 	for _, engine := range []string{"d00", "d01"} {
 		for i := range 5 {
-			a.Adopt(now, turmericwall.PlacedRun{
-				Ask: placeRequest(fmt.Sprintf("%s+%d", engine, i), now, 5000, 3000), Engine: engine,
+			a.Adopt(now, turmericwall.PlacedCall{
+				Request: placeRequest(fmt.Sprintf("%s+%d", engine, i), now, 5000, 3000), Engine: engine,
 			})
 		}
 	}
@@ -484,7 +484,9 @@
 	a.Enqueue(start, placeRequest("a", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed[0].Decode.ID).To(Equal("d03"))
 	for i := range 4 {
-		a.Adopt(start, turmericwall.PlacedRun{Ask: placeRequest(fmt.Sprintf("full%d", i), start, 8000, 4000), Engine: "d03"})
+		a.Adopt(start, turmericwall.PlacedCall{
+			Request: placeRequest(fmt.Sprintf("full%d", i), start, 8000, 4000), Engine: "d03",
+		})
 	}
 	a.Enqueue(start, placeRequest("b", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed[0].Decode.ID).NotTo(Equal("d03"), "free memory outweighs the transfer between zones")
--- a/internal/placement/twbooks/callers.go
+++ b/internal/placement/twbooks/callers.go
@@ -42,7 +42,7 @@
 
 // recordAttempt returns when the caller made its first attempt, and whether that was before this one. Attempts belong
 // to one caller when the subject of the prompt and the caller's deadline are the same.
-func (c *callers) recordAttempt(now time.Time, request turmericwall.PlaceAsk) (time.Time, bool) {
+func (c *callers) recordAttempt(now time.Time, request turmericwall.PlaceRequest) (time.Time, bool) {
 	c.expire(now)
 	if request.Work.Subject == "" {
 		return now, false
@@ -82,7 +82,7 @@
 }
 
 // cachedPrompt returns what is known of the engine that may still have the call's prompt in its cache.
-func (c *callers) cachedPrompt(request turmericwall.PlaceAsk) caller {
+func (c *callers) cachedPrompt(request turmericwall.PlaceRequest) caller {
 	return c.bySubject[request.Work.Subject]
 }
 
--- a/internal/placement/twbooks/decide.go
+++ b/internal/placement/twbooks/decide.go
@@ -203,7 +203,7 @@
 }
 
 // prefillMillis returns in how many milliseconds the engine would finish the call's prompt, its backlog included.
-func (a *Books) prefillMillis(now time.Time, e *engine, request turmericwall.PlaceAsk) float64 {
+func (a *Books) prefillMillis(now time.Time, e *engine, request turmericwall.PlaceRequest) float64 {
 	speed := a.prefillSpeedOf(now, e)
 	return (e.pendingPrefillTokens(now, speed)+float64(request.Work.PromptTokens))/speed + prefillOverheadMillis
 }
@@ -239,7 +239,7 @@
 }
 
 // forecast returns the memory that the call will need once its prompt is prefilled.
-func (a *Books) forecast(request turmericwall.PlaceAsk) forecast {
+func (a *Books) forecast(request turmericwall.PlaceRequest) forecast {
 	return forecastOf(request.Work, 0, a.tuning.LengthQuantile)
 }
 
--- a/internal/placement/twbooks/kept.go
+++ b/internal/placement/twbooks/kept.go
@@ -36,7 +36,7 @@
 
 // engineWithPrompt returns the decode engine that still has the call's prompt in its cache, and how many tokens of it;
 // nil when there is none.
-func (a *Books) engineWithPrompt(st *decisionState, request turmericwall.PlaceAsk) (*engine, int) {
+func (a *Books) engineWithPrompt(st *decisionState, request turmericwall.PlaceRequest) (*engine, int) {
 	if !a.promptsStayCached(st.now) {
 		return nil, 0
 	}
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twbooks/kept_test.go
@@ -20,14 +20,14 @@
 		call.Owner = "killed"
 		a.Enqueue(start, call)
 		g.Expect(a.Decide(start).Placed).To(HaveLen(1))
-		a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
+		a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: call.ID, Running: true, Prefilled: true, PromptMillis: 100})
 	}
 	a.ReleaseOwner("killed")
 	return a
 }
 
 // retryOf returns the second attempt of a caller, with a new id and the same deadline.
-func retryOf(i int, at time.Time) turmericwall.PlaceAsk {
+func retryOf(i int, at time.Time) turmericwall.PlaceRequest {
 	again := placeRequest(fmt.Sprint("again", i), at, 5000, 2000)
 	again.Work.Subject, again.CallerDeadline = fmt.Sprint("c", i), start.Add(13*time.Second)
 	return again
@@ -83,7 +83,9 @@
 		if placed[0].Prefill.ID != "" {
 			prefilledElsewhere++
 		}
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID, Running: true, PromptRead: true, PromptMillis: 240})
+		a.ApplyUpdate(
+			at, turmericwall.PlacementEnd{ID: placed[0].ID, Running: true, Prefilled: true, PromptMillis: 240},
+		)
 		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID})
 		at = at.Add(300 * time.Millisecond)
 	}
@@ -128,7 +130,7 @@
 		call := placeRequest(fmt.Sprint("other", i), at, 8000, 1000)
 		a.Enqueue(at, call)
 		g.Expect(a.Decide(at).Placed).To(HaveLen(1))
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
+		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID, Running: true, Prefilled: true, PromptMillis: 100})
 		at = at.Add(300 * time.Millisecond)
 		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID})
 	}
--- a/internal/placement/twbooks/ownread.go
+++ b/internal/placement/twbooks/ownread.go
@@ -38,7 +38,7 @@
 // An engine with large chunks prefills nearly the whole prompt before the next token, so that the next event of every
 // stream waits for it: 260 ms for 6,000 tokens where 300 ms are allowed. A second prompt at the same time makes all of
 // them late.
-func (a *Books) prefillFitsEventGap(now time.Time, e *engine, request turmericwall.PlaceAsk) bool {
+func (a *Books) prefillFitsEventGap(now time.Time, e *engine, request turmericwall.PlaceRequest) bool {
 	if len(e.runs) == 0 || request.EventGapMillis <= 0 {
 		return true
 	}
@@ -49,7 +49,7 @@
 }
 
 // watchStreams starts observing the streams that the prefill may delay.
-func (a *Books) watchStreams(now time.Time, e *engine, request turmericwall.PlaceAsk, prefillMillis float64) {
+func (a *Books) watchStreams(now time.Time, e *engine, request turmericwall.PlaceRequest, prefillMillis float64) {
 	if a.prefillFitsEventGap(now, e, request) {
 		return
 	}
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -76,7 +76,7 @@
 
 // Place charges the call to its account's quota and blocks until the call is placed or refused, or ctx ends. The error
 // is a *Problem. The units of a call that was not placed are refunded.
-func (c *Coordinator) Place(ctx context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (c *Coordinator) Place(ctx context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	if err := c.charge(request); err != nil {
 		return turmericwall.Placement{}, err
 	}
@@ -88,7 +88,7 @@
 }
 
 // charge takes the call's units from its account's quota. Without a leader this daemon takes them from its own share.
-func (c *Coordinator) charge(request turmericwall.PlaceAsk) error {
+func (c *Coordinator) charge(request turmericwall.PlaceRequest) error {
 	switch {
 	case request.Units <= 0:
 		return nil
@@ -100,7 +100,7 @@
 }
 
 // settleCharge refunds the units of a call that was not placed, and records those of a placed one.
-func (c *Coordinator) settleCharge(request turmericwall.PlaceAsk, err error) {
+func (c *Coordinator) settleCharge(request turmericwall.PlaceRequest, err error) {
 	if err != nil {
 		c.config.Quotas.Refund(request.Account, request.Units)
 		return
@@ -125,7 +125,7 @@
 }
 
 func (c *Coordinator) awaitDecision(
-	ctx context.Context, request turmericwall.PlaceAsk,
+	ctx context.Context, request turmericwall.PlaceRequest,
 ) (turmericwall.Placement, error) {
 	reply := c.enqueue(request)
 	select {
@@ -160,12 +160,12 @@
 }
 
 // Adopt adds a call that was placed by another daemon.
-func (c *Coordinator) Adopt(run turmericwall.PlacedRun) {
+func (c *Coordinator) Adopt(run turmericwall.PlacedCall) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.service(run.Ask.Service)
-	c.refreshInputs(now, run.Ask.Service, s)
+	s := c.service(run.Request.Service)
+	c.refreshInputs(now, run.Request.Service, s)
 	s.allocator.Adopt(now, run)
 }
 
@@ -217,7 +217,7 @@
 	return c.service(service).allocator.Need(now)
 }
 
-func (c *Coordinator) enqueue(request turmericwall.PlaceAsk) <-chan decision {
+func (c *Coordinator) enqueue(request turmericwall.PlaceRequest) <-chan decision {
 	now := time.Now()
 	reply := make(chan decision, 1)
 	c.mu.Lock()
@@ -229,7 +229,7 @@
 	return reply
 }
 
-func (c *Coordinator) withdraw(request turmericwall.PlaceAsk) {
+func (c *Coordinator) withdraw(request turmericwall.PlaceRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(request.Service)
--- a/internal/placement/twcoordinator/coordinator_test.go
+++ b/internal/placement/twcoordinator/coordinator_test.go
@@ -31,9 +31,9 @@
 	})
 }
 
-func placeRequest(id string) turmericwall.PlaceAsk {
+func placeRequest(id string) turmericwall.PlaceRequest {
 	now := time.Now()
-	return turmericwall.PlaceAsk{
+	return turmericwall.PlaceRequest{
 		ID: id, Service: "s", Owner: "o", Work: turmericwall.ModelWork{PromptTokens: 5000, HintTokens: 3000, MaxTokens: 6500},
 		TargetDeadline: now.Add(2 * time.Second), GiveUpDeadline: now.Add(9 * time.Second),
 		CallerDeadline: now.Add(9 * time.Second), EventGapMillis: 300,
@@ -56,7 +56,7 @@
 	}()
 	g.Eventually(func() int { return c.Waiting("s") }, time.Second, time.Millisecond).Should(Equal(1))
 	for i := range 6 {
-		c.Adopt(turmericwall.PlacedRun{Ask: placeRequest(fmt.Sprint("theirs", i)), Engine: "d1"})
+		c.Adopt(turmericwall.PlacedCall{Request: placeRequest(fmt.Sprint("theirs", i)), Engine: "d1"})
 	}
 	var placement turmericwall.Placement
 	g.Eventually(placed, 3*time.Second).Should(Receive(&placement))
--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -50,7 +50,7 @@
 
 // placedCall is a call that has not ended yet.
 type placedCall struct {
-	request turmericwall.PlaceAsk
+	request turmericwall.PlaceRequest
 	engine  string
 	// prefillEndsAt is when the prefill is expected to end, and once it has ended, when that was.
 	prefillEndsAt time.Time
@@ -65,7 +65,7 @@
 
 // Place requests the placement from the leader, and from this daemon's coordinator while no leader answers. A refusal
 // by the leader is final. The error is a *Problem.
-func (d *Delegate) Place(ctx context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (d *Delegate) Place(ctx context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	leader, self, ok := d.config.Leader()
 	if ok && !self {
 		placement, err := d.placeAtLeader(ctx, leader, request)
@@ -96,7 +96,7 @@
 func (d *Delegate) Finish(end turmericwall.PlacementEnd) {
 	d.config.Own.Finish(end)
 	d.mu.Lock()
-	if run, ok := d.placedCalls[end.ID]; ok && end.Running && end.PromptRead {
+	if run, ok := d.placedCalls[end.ID]; ok && end.Running && end.Prefilled {
 		run.started = true
 		run.prefillEndsAt = time.Now()
 	}
@@ -147,7 +147,7 @@
 // placeAtLeader requests the placement from the leader. The request is cancelled as soon as the leader is no longer
 // live.
 func (d *Delegate) placeAtLeader(
-	ctx context.Context, leader turmericwall.Member, request turmericwall.PlaceAsk,
+	ctx context.Context, leader turmericwall.Member, request turmericwall.PlaceRequest,
 ) (turmericwall.Placement, error) {
 	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -158,8 +158,8 @@
 		return placement, err
 	}
 	d.recordPlaced(request, placement)
-	d.config.Own.Adopt(turmericwall.PlacedRun{
-		Ask: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.ReadDeadline).Milliseconds(),
+	d.config.Own.Adopt(turmericwall.PlacedCall{
+		Request: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.ReadDeadline).Milliseconds(),
 	})
 	return placement, nil
 }
@@ -185,7 +185,7 @@
 	return func() { close(done) }
 }
 
-func (d *Delegate) recordPlaced(request turmericwall.PlaceAsk, placement turmericwall.Placement) {
+func (d *Delegate) recordPlaced(request turmericwall.PlaceRequest, placement turmericwall.Placement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placedCalls[request.ID] = &placedCall{
@@ -194,7 +194,7 @@
 }
 
 // withdraw reports the end of a call whose request got no answer, since the leader may have placed it.
-func (d *Delegate) withdraw(request turmericwall.PlaceAsk) {
+func (d *Delegate) withdraw(request turmericwall.PlaceRequest) {
 	d.Finish(turmericwall.PlacementEnd{ID: request.ID, Service: request.Service})
 }
 
@@ -207,14 +207,14 @@
 		d.mu.Unlock()
 		return
 	}
-	runs := make([]turmericwall.PlacedRun, 0, len(d.placedCalls))
+	runs := make([]turmericwall.PlacedCall, 0, len(d.placedCalls))
 	for _, run := range d.placedCalls {
-		runs = append(runs, turmericwall.PlacedRun{
-			Ask: run.request, Engine: run.engine, AgeMillis: time.Since(run.prefillEndsAt).Milliseconds(),
+		runs = append(runs, turmericwall.PlacedCall{
+			Request: run.request, Engine: run.engine, AgeMillis: time.Since(run.prefillEndsAt).Milliseconds(),
 		})
 	}
 	d.mu.Unlock()
-	if err := d.config.Peers.Runs(ctx, leader.Address, runs); err != nil {
+	if err := d.config.Peers.ReportPlacedCalls(ctx, leader.Address, runs); err != nil {
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
 			Str("leader", leader.Name).Int("runs", int64(len(runs))).Err(err).Send()
 		return
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -23,13 +23,13 @@
 	mu      sync.Mutex
 	place   func(ctx context.Context) (turmericwall.Placement, error)
 	ended   []turmericwall.PlacementEnd
-	runs    []turmericwall.PlacedRun
+	runs    []turmericwall.PlacedCall
 	reports int
 	failing bool
 }
 
 func (l *fakeLeader) Place(
-	ctx context.Context, _ string, request turmericwall.PlaceAsk,
+	ctx context.Context, _ string, request turmericwall.PlaceRequest,
 ) (turmericwall.Placement, error) {
 	p, err := l.place(ctx)
 	p.ID = request.ID
@@ -46,11 +46,11 @@
 	return nil
 }
 
-func (l *fakeLeader) Admit(context.Context, string, turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+func (l *fakeLeader) Admit(context.Context, string, turmericwall.AdmitRequest) (turmericwall.AdmitReply, error) {
 	return turmericwall.AdmitReply{}, nil
 }
 
-func (l *fakeLeader) Runs(_ context.Context, _ string, runs []turmericwall.PlacedRun) error {
+func (l *fakeLeader) ReportPlacedCalls(_ context.Context, _ string, runs []turmericwall.PlacedCall) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports++
@@ -125,9 +125,9 @@
 	return s
 }
 
-func placeRequest(id string) turmericwall.PlaceAsk {
+func placeRequest(id string) turmericwall.PlaceRequest {
 	now := time.Now()
-	return turmericwall.PlaceAsk{
+	return turmericwall.PlaceRequest{
 		ID: id, Service: "s", Owner: "me",
 		Work:           turmericwall.ModelWork{PromptTokens: 2000, HintTokens: 500, MaxTokens: 1000},
 		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(5 * time.Second),
@@ -168,7 +168,7 @@
 	}
 	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, PromptRead: true})
+	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, Prefilled: true})
 	time.Sleep(300 * time.Millisecond)
 	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, Paused: true})
 	s.setLeader("next", true)
--- a/peering.go
+++ b/peering.go
@@ -98,8 +98,8 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// StateAsk requests newer state from a peer. It states what the requesting daemon has already.
-type StateAsk struct {
+// StateRequest requests newer state from a peer. It states what the requesting daemon has already.
+type StateRequest struct {
 	PlanVersion       int64 `json:"planVersion"`
 	UpstreamsPosition int64 `json:"upstreamsPosition"`
 	// Joining is the requesting daemon, so that a leader that does not know it yet adds it to its members.
@@ -134,25 +134,25 @@
 	MembersVersion int64    `json:"membersVersion,omitempty"`
 }
 
-// PlacedRun is a placed call that a daemon reports to a new leader, which did not place it itself.
-type PlacedRun struct {
-	Ask PlaceAsk
+// PlacedCall is a placed call that a daemon reports to a new leader, which did not place it itself.
+type PlacedCall struct {
+	Request PlaceRequest
 	// Engine is the ID of the decode engine.
 	Engine string
 	// AgeMillis is the time since the first event of the answer; negative while the prompt is prefilled.
 	AgeMillis int64
 }
 
-// AdmitAsk requests sends to an upstream that states a rate from the rate coordinator, the daemon that counts the sends
-// of all daemons.
-type AdmitAsk struct {
+// AdmitRequest requests sends to an upstream that states a rate from the rate coordinator, the daemon that counts the
+// sends of all daemons.
+type AdmitRequest struct {
 	// Rate is the newest statement that the requesting daemon has.
 	Rate UpstreamRate `json:"rate"`
 	// Count is the number of requested sends.
 	Count int `json:"count"`
 }
 
-// AdmitReply is the reply to an AdmitAsk.
+// AdmitReply is the reply to an AdmitRequest.
 type AdmitReply struct {
 	// Declined is set if the answering daemon is not the rate coordinator.
 	Declined bool `json:"declined,omitempty"`
@@ -168,14 +168,14 @@
 type PeerClient interface {
 	// Heartbeat sends a heartbeat and returns the daemon's reply.
 	Heartbeat(ctx context.Context, address string, heartbeat Heartbeat) (HeartbeatReply, error)
-	// State requests newer state.
-	State(ctx context.Context, address string, ask StateAsk) (SharedState, error)
+	// FetchState requests newer state.
+	FetchState(ctx context.Context, address string, ask StateRequest) (SharedState, error)
 	// Place requests a placement from the leader. The error is a *Problem if the leader refused the call.
-	Place(ctx context.Context, address string, ask PlaceAsk) (Placement, error)
+	Place(ctx context.Context, address string, ask PlaceRequest) (Placement, error)
 	// Finish reports the progress and the end of placed calls to the leader.
 	Finish(ctx context.Context, address string, ends []PlacementEnd) error
-	// Runs reports this daemon's placed calls to a new leader.
-	Runs(ctx context.Context, address string, runs []PlacedRun) error
+	// ReportPlacedCalls reports this daemon's placed calls to a new leader.
+	ReportPlacedCalls(ctx context.Context, address string, runs []PlacedCall) error
 	// Admit requests sends to an upstream from the rate coordinator.
-	Admit(ctx context.Context, address string, ask AdmitAsk) (AdmitReply, error)
+	Admit(ctx context.Context, address string, ask AdmitRequest) (AdmitReply, error)
 }
--- a/placements.go
+++ b/placements.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// PlaceAsk requests engine memory and a slot for one model call.
-type PlaceAsk struct {
+// PlaceRequest requests engine memory and a slot for one model call.
+type PlaceRequest struct {
 	// ID is the call's ID with the number of the placement attempt.
 	ID      string
 	Service string
@@ -55,18 +55,18 @@
 type PlacementEnd struct {
 	ID      string `json:"ID"`
 	Service string `json:"Service"`
-	// Full is the ID of the engine that refused the reservation or the call because its memory is full.
-	Full string `json:"Full"`
-	// Failed is the ID of the engine that failed the call.
-	Failed string `json:"Failed"`
-	// Doubted is the ID of an engine that is suspected to have failed the call, if the engine in Full did not.
-	Doubted string `json:"Doubted"`
+	// FullEngine is the ID of the engine that refused the reservation or the call because its memory is full.
+	FullEngine string `json:"Full"`
+	// FailedEngine is the ID of the engine that failed the call.
+	FailedEngine string `json:"Failed"`
+	// SuspectedEngine is the ID of an engine that is suspected to have failed the call, if the engine in Full did not.
+	SuspectedEngine string `json:"Doubted"`
 	// NotRun is set if no engine ran the call, so that its charge is refunded.
 	NotRun bool `json:"NotRun"`
 	// Running is set if the call continues.
 	Running bool `json:"Running"`
-	// PromptRead is set if the prefill has ended; PromptMillis is its duration.
-	PromptRead   bool  `json:"PromptRead"`
+	// Prefilled is set if the prefill has ended; PromptMillis is its duration.
+	Prefilled    bool  `json:"PromptRead"`
 	PromptMillis int64 `json:"PromptMillis"`
 	// AnswerTokens is the number of tokens that were decoded in the AnswerMillis since the first event.
 	AnswerTokens int   `json:"AnswerTokens"`
@@ -108,7 +108,7 @@
 type EnginePlacer interface {
 	// Place blocks until the call is placed, refused or ctx ends. The error is a *Problem; that of a refusal has a
 	// retry time.
-	Place(ctx context.Context, ask PlaceAsk) (Placement, error)
+	Place(ctx context.Context, ask PlaceRequest) (Placement, error)
 	// Finish applies a report on a placed call, and releases the call's memory and slot unless Running is set. It never
 	// blocks.
 	Finish(end PlacementEnd)
