--- a/internal/delivery/twrelay/failing_test.go
+++ b/internal/delivery/twrelay/failing_test.go
@@ -42,7 +42,7 @@
 	_, _ = s.serve(ctx, "/m/x")
 	s.placer.mu.Lock()
 	defer s.placer.mu.Unlock()
-	report := turmericwall.PlacementEnd{ID: "id1/0", Service: "engines", Running: true, FailedEngine: "d1"}
+	report := turmericwall.PlacementUpdate{ID: "id1/0", Service: "engines", Running: true, FailedEngine: "d1"}
 	g.Expect(s.placer.ends).To(ContainElement(report))
 	g.Expect(s.upstreams.sentTo()).To(Equal([]string{"d1"}), "the call may run there and must not be sent again")
 }
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -131,7 +131,7 @@
 	mu         sync.Mutex
 	placements []turmericwall.Placement
 	requests   []turmericwall.PlaceRequest
-	ends       []turmericwall.PlacementEnd
+	ends       []turmericwall.PlacementUpdate
 	refusal    error
 }
 
@@ -144,11 +144,11 @@
 	}
 	placement := p.placements[len(p.requests)-1]
 	placement.ID = request.ID
-	placement.ReadDeadline = time.Now().Add(100 * time.Millisecond)
+	placement.PrefillEndsAt = time.Now().Add(100 * time.Millisecond)
 	return placement, nil
 }
 
-func (p *fakePlacer) Finish(end turmericwall.PlacementEnd) {
+func (p *fakePlacer) ApplyUpdate(end turmericwall.PlacementUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ends = append(p.ends, end)
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -76,7 +76,7 @@
 	a.stats.placedMillis = a.elapsedMillis()
 	a.stats.late = placement.Late
 	a.stats.prefillEngine = placement.Prefill.ID
-	a.stats.expectedPrefillMillis = placement.ReadDeadline.Sub(a.call.ReceivedAt).Milliseconds()
+	a.stats.expectedPrefillMillis = placement.PrefillEndsAt.Sub(a.call.ReceivedAt).Milliseconds()
 	r.config.Recorder.Record(turmericwall.EventPlacementGranted).Str("request", placement.ID).
 		Str("decode", placement.Decode.ID).
 		Str("prefill", placement.Prefill.ID).Int("placedMillis", a.stats.placedMillis).
@@ -124,10 +124,10 @@
 func (r *Relay) tryPlacement(
 	ctx context.Context, a *attempt, p turmericwall.Placement, avoid *[]string,
 ) (done bool, err error) {
-	end := turmericwall.PlacementEnd{ID: p.ID, Service: a.service.Name}
+	end := turmericwall.PlacementUpdate{ID: p.ID, Service: a.service.Name}
 	defer func() {
 		end.NotRun = isNotRun(err)
-		r.config.Placer.Finish(end)
+		r.config.Placer.ApplyUpdate(end)
 	}()
 	a.upstreamID = p.Decode.ID
 	if err := r.config.Keys.Holds(a.credential); err != nil {
@@ -176,7 +176,7 @@
 // the call must not be placed again.
 func (r *Relay) runPrefill(
 	ctx context.Context, a *attempt, p turmericwall.Placement, out *turmericwall.Outgoing,
-	end *turmericwall.PlacementEnd, avoid *[]string,
+	end *turmericwall.PlacementUpdate, avoid *[]string,
 ) (done bool, err error) {
 	if p.Prefill.ID == "" {
 		return false, nil
@@ -195,11 +195,11 @@
 	}
 	out.Step = turmericwall.StepImport
 	end.Prefilled = true
-	end.PromptMillis = time.Since(began).Milliseconds()
+	end.PrefillMillis = time.Since(began).Milliseconds()
 	a.stats.prefilledMillis = a.elapsedMillis()
-	r.config.Placer.Finish(turmericwall.PlacementEnd{
+	r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
 		ID: p.ID, Service: end.Service, Running: true, Prefilled: true,
-		PromptMillis: end.PromptMillis,
+		PrefillMillis: end.PrefillMillis,
 	})
 	return false, nil
 }
@@ -249,11 +249,11 @@
 func (r *Relay) startStallTimer(p turmericwall.Placement, service string) *time.Timer {
 	wait := firstEventTimeout
 	if p.Prefill.ID == "" {
-		wait += 2 * max(time.Until(p.ReadDeadline), 0)
+		wait += 2 * max(time.Until(p.PrefillEndsAt), 0)
 	}
 	return time.AfterFunc(wait, func() {
-		r.config.Placer.Finish(
-			turmericwall.PlacementEnd{ID: p.ID, Service: service, Running: true, FailedEngine: p.Decode.ID},
+		r.config.Placer.ApplyUpdate(
+			turmericwall.PlacementUpdate{ID: p.ID, Service: service, Running: true, FailedEngine: p.Decode.ID},
 		)
 	})
 }
@@ -268,7 +268,7 @@
 // handleSendError records in end and avoid which engine is at fault for a failed send to the decode engine. It reports
 // whether the call has its final outcome, because it may have run; otherwise the call is placed again.
 func (r *Relay) handleSendError(
-	ctx context.Context, p turmericwall.Placement, err error, end *turmericwall.PlacementEnd, avoid *[]string,
+	ctx context.Context, p turmericwall.Placement, err error, end *turmericwall.PlacementUpdate, avoid *[]string,
 ) (bool, error) {
 	var sent *turmericwall.SendError
 	if !errors.As(err, &sent) || !sent.Safe() {
@@ -299,7 +299,7 @@
 func (r *Relay) reserve(ctx context.Context, p turmericwall.Placement) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	until := p.ReadDeadline.Add(reservationSlack)
+	until := p.PrefillEndsAt.Add(reservationSlack)
 	if latest := time.Now().Add(time.Duration(r.maxReservationMillis(p)) * time.Millisecond); until.After(latest) {
 		until = latest
 	}
@@ -333,7 +333,7 @@
 	if a.prefilled && !r.spendSend(a) {
 		return turmericwall.EngineExport{}, errRetryBudgetUsed
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*max(time.Until(p.ReadDeadline), 0)+prefillSlack)
+	ctx, cancel := context.WithTimeout(ctx, 2*max(time.Until(p.PrefillEndsAt), 0)+prefillSlack)
 	defer cancel()
 	export, err := r.config.Upstreams.Prefill(ctx, p.Prefill, turmericwall.Outgoing{
 		Call: a.call, Deadline: out.Deadline, Priority: out.Priority,
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -142,9 +142,13 @@
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
 	// On a busy machine the pause is long enough for the speed to be reported too.
-	ended := slices.DeleteFunc(s.placer.ends, func(end turmericwall.PlacementEnd) bool { return end.Running && end.AnswerTokens > 0 })
+	ended := slices.DeleteFunc(
+		s.placer.ends, func(end turmericwall.PlacementUpdate) bool { return end.Running && end.AnswerTokens > 0 },
+	)
 	g.Expect(ended).To(HaveLen(3), "reports of the prefill, the event gap and the end")
-	g.Expect(ended[1]).To(Equal(turmericwall.PlacementEnd{ID: "id1/0", Service: "engines", Running: true, Paused: true}))
+	g.Expect(ended[1]).To(
+		Equal(turmericwall.PlacementUpdate{ID: "id1/0", Service: "engines", Running: true, EventGapExceeded: true}),
+	)
 }
 
 // The first calls after a start last for seconds. The placer needs their speed before they end, so that it can change
@@ -158,7 +162,7 @@
 	}
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
-	var reported []turmericwall.PlacementEnd
+	var reported []turmericwall.PlacementUpdate
 	for _, end := range s.placer.ends {
 		if end.Running && end.AnswerTokens > 0 {
 			reported = append(reported, end)
--- a/internal/delivery/twrelay/move.go
+++ b/internal/delivery/twrelay/move.go
@@ -101,20 +101,20 @@
 		return moveResult{err: err}
 	}
 	if err := r.checkAcceptsCalls(placement.Decode); err != nil {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		return moveResult{err: err}
 	}
 	if err := r.config.Throttle.Admit(ctx, placement.Decode.Key()); err != nil {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		return moveResult{err: err}
 	}
 	if !r.config.Retries.Spend(time.Now(), a.service.Name, r.config.Daemons()) {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		return moveResult{err: errRetryBudgetUsed}
 	}
 	export, copied, err := r.config.Upstreams.MoveRun(ctx, request.from, placement.Decode, a.call.ID)
 	if err != nil {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		var sent *turmericwall.SendError
 		return moveResult{stopped: !errors.As(err, &sent) || !sent.Safe(), err: err}
 	}
@@ -134,7 +134,7 @@
 		}
 		return streamErr
 	}
-	defer r.config.Placer.Finish(turmericwall.PlacementEnd{ID: result.placement.ID, Service: a.service.Name})
+	defer r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: result.placement.ID, Service: a.service.Name})
 	if s.lastEventID == 0 {
 		return errors.Join(streamErr, errNoEvent)
 	}
@@ -155,7 +155,7 @@
 		return errors.Join(streamErr, fmt.Errorf("the engine answered status %d to a moved run", answer.Status))
 	}
 	// The earlier run has ended. If its placement lasted until the end of the stream, its memory would stay reserved.
-	r.config.Placer.Finish(turmericwall.PlacementEnd{ID: s.placementID, Service: a.service.Name})
+	r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: s.placementID, Service: a.service.Name})
 	s.engine = to
 	s.placementID = result.placement.ID
 	a.upstreamID = to.ID
@@ -178,7 +178,9 @@
 	if outcome.err != nil {
 		return
 	}
-	s.relay.config.Placer.Finish(turmericwall.PlacementEnd{ID: outcome.placement.ID, Service: s.attempt.service.Name})
+	s.relay.config.Placer.ApplyUpdate(
+		turmericwall.PlacementUpdate{ID: outcome.placement.ID, Service: s.attempt.service.Name},
+	)
 	s.relay.releaseEngines(outcome.placement.Decode, "", s.engine, outcome.export)
 }
 
--- a/internal/delivery/twrelay/stream.go
+++ b/internal/delivery/twrelay/stream.go
@@ -30,7 +30,8 @@
 
 // streamAnswer passes the answer of a decode engine on as it arrives, in complete events only.
 func (r *Relay) streamAnswer(
-	ctx context.Context, a *attempt, p turmericwall.Placement, answer *turmericwall.Answer, end *turmericwall.PlacementEnd,
+	ctx context.Context, a *attempt, p turmericwall.Placement, answer *turmericwall.Answer,
+	end *turmericwall.PlacementUpdate,
 ) error {
 	if err := checkUnstatedNotRun(answer); err != nil {
 		return err
@@ -82,7 +83,7 @@
 	relay        *Relay
 	attempt      *attempt
 	engine       turmericwall.Upstream
-	end          *turmericwall.PlacementEnd
+	end          *turmericwall.PlacementUpdate
 	firstEventAt time.Time
 	// speedReported is set once the placer got an early report of the answer's speed.
 	speedReported bool
@@ -168,9 +169,9 @@
 func (s *answerStream) recordEventGap(millis int64) {
 	stats, limitMillis := &s.attempt.stats, s.attempt.route.EventGapMillis
 	if limitMillis > 0 && millis > limitMillis && stats.maxEventGapMillis <= limitMillis {
-		s.relay.config.Placer.Finish(turmericwall.PlacementEnd{
+		s.relay.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
 			ID: s.placementID, Service: s.end.Service, Running: true,
-			Paused: true,
+			EventGapExceeded: true,
 		})
 	}
 	stats.maxEventGapMillis = max(stats.maxEventGapMillis, millis)
@@ -182,9 +183,9 @@
 		return
 	}
 	s.end.Prefilled = true
-	s.end.PromptMillis = s.attempt.stats.firstEventMillis - s.attempt.stats.placedMillis
-	s.relay.config.Placer.Finish(turmericwall.PlacementEnd{
-		ID: s.end.ID, Service: s.end.Service, Running: true, Prefilled: true, PromptMillis: s.end.PromptMillis,
+	s.end.PrefillMillis = s.attempt.stats.firstEventMillis - s.attempt.stats.placedMillis
+	s.relay.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
+		ID: s.end.ID, Service: s.end.Service, Running: true, Prefilled: true, PrefillMillis: s.end.PrefillMillis,
 	})
 }
 
@@ -198,7 +199,7 @@
 		return
 	}
 	s.speedReported = true
-	s.relay.config.Placer.Finish(turmericwall.PlacementEnd{
+	s.relay.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
 		ID: s.placementID, Service: s.end.Service, Running: true,
 		AnswerTokens: (s.attempt.stats.events - 1) * max(s.attempt.service.Engine.TokensPerEvent, 1),
 		AnswerMillis: now.Sub(s.firstEventAt).Milliseconds(),
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -140,7 +140,10 @@
 	return turmericwall.Placement{}, nil
 }
 
-func (n *network) Finish(context.Context, string, []turmericwall.PlacementEnd) error { return nil }
+func (n *network) SendUpdates(context.Context, string, []turmericwall.PlacementUpdate) error {
+	return nil
+}
+
 func (n *network) ReportPlacedCalls(context.Context, string, []turmericwall.PlacedCall) error {
 	return nil
 }
--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -92,12 +92,12 @@
 	return turmericwall.Placement{
 		ID: ask.ID, Decode: reply.Decode, Prefill: reply.Prefill, ReserveTokens: reply.ReserveTokens,
 		Reason: reply.Reason, Late: reply.Late,
-		ReadDeadline: now.Add(time.Duration(reply.ReadMillis) * time.Millisecond),
+		PrefillEndsAt: now.Add(time.Duration(reply.ReadMillis) * time.Millisecond),
 	}, nil
 }
 
-// Finish reports to the leader what happened to placed calls.
-func (c *Client) Finish(ctx context.Context, address string, ends []turmericwall.PlacementEnd) error {
+// SendUpdates reports to the leader what happened to placed calls.
+func (c *Client) SendUpdates(ctx context.Context, address string, ends []turmericwall.PlacementUpdate) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return c.call(ctx, address, pathFinish, ends, nil)
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -76,7 +76,7 @@
 				}
 				return reply
 			},
-			Finish: func(turmericwall.PlacementEnd) {}, Adopt: func(turmericwall.PlacedCall) {},
+			Finish: func(turmericwall.PlacementUpdate) {}, Adopt: func(turmericwall.PlacedCall) {},
 		})
 		request := httptest.NewRequest(http.MethodPost, "/peer/heartbeat", bytes.NewReader(body))
 		request.URL.Path = path
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -47,7 +47,7 @@
 			g.Expect(got).To(Equal(want))
 			return turmericwall.Placement{
 				Decode: turmericwall.Upstream{ID: "d"}, ReserveTokens: 7, Late: true, Reason: "r",
-				ReadDeadline: time.Now().Add(time.Second),
+				PrefillEndsAt: time.Now().Add(time.Second),
 			}, nil
 		},
 	})
@@ -55,7 +55,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect([]any{got.ID, got.Decode.ID, got.ReserveTokens, got.Late, got.Reason}).
 		To(Equal([]any{"1/0", "d", 7, true, "r"}))
-	g.Expect(got.ReadDeadline).To(BeTemporally("~", time.Now().Add(time.Second), 300*time.Millisecond))
+	g.Expect(got.PrefillEndsAt).To(BeTemporally("~", time.Now().Add(time.Second), 300*time.Millisecond))
 }
 
 func TestRefusalKeepsRetryTime(t *testing.T) {
@@ -85,7 +85,7 @@
 
 func TestFinishRunsHeartbeatAndStateKeepTheirFields(t *testing.T) {
 	g := NewWithT(t)
-	var ended []turmericwall.PlacementEnd
+	var ended []turmericwall.PlacementUpdate
 	var adopted []turmericwall.PlacedCall
 	me := turmericwall.HeartbeatReply{
 		Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UpMillis: 7,
@@ -104,14 +104,16 @@
 			g.Expect(ask.UpstreamsPosition).To(BeEquivalentTo(8))
 			return state
 		},
-		Finish: func(end turmericwall.PlacementEnd) { ended = append(ended, end) },
+		Finish: func(end turmericwall.PlacementUpdate) { ended = append(ended, end) },
 		Adopt:  func(run turmericwall.PlacedCall) { adopted = append(adopted, run) },
 	})
 	c, ctx := twpeerhttp.NewClient(), context.Background()
-	g.Expect(c.Finish(ctx, address, []turmericwall.PlacementEnd{
-		{ID: "1", Running: true, Prefilled: true, PromptMillis: 5},
+	g.Expect(c.SendUpdates(ctx, address, []turmericwall.PlacementUpdate{
+		{ID: "1", Running: true, Prefilled: true, PrefillMillis: 5},
 	})).To(Succeed())
-	g.Expect(ended).To(Equal([]turmericwall.PlacementEnd{{ID: "1", Running: true, Prefilled: true, PromptMillis: 5}}))
+	g.Expect(ended).To(
+		Equal([]turmericwall.PlacementUpdate{{ID: "1", Running: true, Prefilled: true, PrefillMillis: 5}}),
+	)
 	g.Expect(c.ReportPlacedCalls(ctx, address, []turmericwall.PlacedCall{
 		{Request: placeRequest(), Engine: "d", AgeMillis: -40},
 	})).To(Succeed())
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -25,7 +25,7 @@
 	State  func(turmericwall.StateRequest) turmericwall.SharedState
 	Keeps  func() bool
 	Place  func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error)
-	Finish func(turmericwall.PlacementEnd)
+	Finish func(turmericwall.PlacementUpdate)
 	Adopt  func(turmericwall.PlacedCall)
 	Admit  func(turmericwall.AdmitRequest) turmericwall.AdmitReply
 }
@@ -159,12 +159,12 @@
 	}
 	writeJSON(w, wirePlaceReply{
 		Decode: placement.Decode, Prefill: placement.Prefill, ReserveTokens: placement.ReserveTokens,
-		ReadMillis: placement.ReadDeadline.Sub(now).Milliseconds(), Reason: placement.Reason, Late: placement.Late,
+		ReadMillis: placement.PrefillEndsAt.Sub(now).Milliseconds(), Reason: placement.Reason, Late: placement.Late,
 	})
 }
 
 func (s *Server) finish(w http.ResponseWriter, request *http.Request) {
-	var ends []turmericwall.PlacementEnd
+	var ends []turmericwall.PlacementUpdate
 	if !readJSON(w, request, &ends) {
 		return
 	}
--- a/internal/placement/twbooks/bench_test.go
+++ b/internal/placement/twbooks/bench_test.go
@@ -46,7 +46,7 @@
 	n := 0
 	for b.Loop() {
 		n++
-		allocator.ApplyUpdate(start, turmericwall.PlacementEnd{ID: id(n%decodes, n%runs)})
+		allocator.ApplyUpdate(start, turmericwall.PlacementUpdate{ID: id(n%decodes, n%runs)})
 		adoptRun(n%decodes, n%runs)
 		allocator.Decide(start)
 	}
--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -251,7 +251,7 @@
 
 // ApplyUpdate applies a report on a placed call: a failed or full engine, the end of its prefill, a pause of its stream
 // or its end.
-func (a *Books) ApplyUpdate(now time.Time, end turmericwall.PlacementEnd) {
+func (a *Books) ApplyUpdate(now time.Time, end turmericwall.PlacementUpdate) {
 	if e, ok := a.engines[end.FullEngine]; ok {
 		e.fullRefusals = min(e.fullRefusals+1, 4)
 		e.backoffUntil = now.Add(millis(a.tuning.FullBackoffMillis * float64(e.fullRefusals)))
@@ -271,7 +271,7 @@
 	if end.Prefilled {
 		a.recordPrefill(now, end)
 	}
-	if end.Paused {
+	if end.EventGapExceeded {
 		a.interference.RecordPause(end.ID)
 	}
 	if !end.Running {
--- a/internal/placement/twbooks/books_test.go
+++ b/internal/placement/twbooks/books_test.go
@@ -87,7 +87,7 @@
 	a.SetEngines(start, list)
 	a.Enqueue(start, placeRequest("a", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed[0].Decode.ID).To(Equal("d01"))
-	a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: "a", FullEngine: "d01"})
+	a.ApplyUpdate(start, turmericwall.PlacementUpdate{ID: "a", FullEngine: "d01"})
 	a.Enqueue(start, placeRequest("b", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed).To(BeEmpty())
 	a.Decide(start.Add(200 * time.Millisecond))
@@ -155,7 +155,7 @@
 	a.Enqueue(start, placeRequest("a", start, 2000, 3000))
 	g.Expect(a.Decide(start).Placed).To(HaveLen(1), "an idle engine has no streams to delay")
 	later := start.Add(300 * time.Millisecond)
-	a.ApplyUpdate(later, turmericwall.PlacementEnd{ID: "a", Running: true, Prefilled: true, PromptMillis: 100})
+	a.ApplyUpdate(later, turmericwall.PlacementUpdate{ID: "a", Running: true, Prefilled: true, PrefillMillis: 100})
 	for i := range 4 {
 		a.Adopt(later, turmericwall.PlacedCall{
 			Request: placeRequest(fmt.Sprint("other", i), later, 2000, 3000), Engine: "d00", AgeMillis: 200,
@@ -183,8 +183,8 @@
 		a.Enqueue(at, slow)
 		a.Decide(at)
 		at = at.Add(2 * time.Second)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, Prefilled: true, PromptMillis: 2000})
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id, Running: true, Prefilled: true, PrefillMillis: 2000})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id})
 	}
 	a.Enqueue(at, placeRequest("now", at, 5000, 300))
 	g.Expect(a.Decide(at).Placed).To(BeEmpty(), "the engine is slow")
@@ -203,8 +203,8 @@
 		a.Enqueue(at, placeRequest(id, at, 5000, 300))
 		g.Expect(a.Decide(at).Placed).To(HaveLen(1))
 		at = at.Add(2 * time.Second)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, Prefilled: true, PromptMillis: 2000})
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id, Running: true, Prefilled: true, PrefillMillis: 2000})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id})
 	}
 }
 
@@ -354,8 +354,8 @@
 		}
 		sim.heldPrompts[e.engine][e.id] = float64(e.work.PromptTokens)
 		sim.startedAt[e.id] = e.at
-		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementEnd{
-			ID: e.id, Running: true, Prefilled: true, PromptMillis: 100,
+		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementUpdate{
+			ID: e.id, Running: true, Prefilled: true, PrefillMillis: 100,
 		})
 		sim.events = append(sim.events, event{
 			at:   e.at.Add(time.Duration(float64(sim.answerTokens[e.id])/decodeSpeed) * time.Millisecond),
@@ -364,7 +364,7 @@
 		return
 	}
 	delete(sim.heldPrompts[e.engine], e.id)
-	sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementEnd{
+	sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementUpdate{
 		ID: e.id, AnswerTokens: sim.answerTokens[e.id], AnswerMillis: int64(float64(sim.answerTokens[e.id]) / decodeSpeed),
 	})
 	sim.decide()
@@ -374,7 +374,7 @@
 func (sim *simulation) reportPauses(engine string) {
 	for id := range sim.heldPrompts[engine] {
 		sim.paused[id] = true
-		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementEnd{ID: id, Running: true, Paused: true})
+		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementUpdate{ID: id, Running: true, EventGapExceeded: true})
 	}
 }
 
@@ -456,7 +456,7 @@
 			if engine == "d00" {
 				took = 4500
 			}
-			a.ApplyUpdate(now, turmericwall.PlacementEnd{ID: id, AnswerTokens: 3000, AnswerMillis: took})
+			a.ApplyUpdate(now, turmericwall.PlacementUpdate{ID: id, AnswerTokens: 3000, AnswerMillis: took})
 		}
 	}
 	for _, engine := range []string{"d00", "d01"} {
--- a/internal/placement/twbooks/decide.go
+++ b/internal/placement/twbooks/decide.go
@@ -230,7 +230,7 @@
 	length := expectedLength(request.Work.HintTokens, request.Work.MaxTokens, 0, a.tuning.ReserveQuantile)
 	placement := turmericwall.Placement{
 		ID: request.ID, Decode: decode.upstream, ReserveTokens: request.Work.PromptTokens + int(length),
-		ReadDeadline: prefillEndsAt, Late: w.late, Reason: "memory expected to suffice",
+		PrefillEndsAt: prefillEndsAt, Late: w.late, Reason: "memory expected to suffice",
 	}
 	if prefillEngine != decode {
 		placement.Prefill = prefillEngine.upstream
--- a/internal/placement/twbooks/ejection_test.go
+++ b/internal/placement/twbooks/ejection_test.go
@@ -17,7 +17,7 @@
 	a := newAllocator(5, 20)
 	failing := map[string]bool{"d00": true, "d01": true}
 	lost, served := 0, 0
-	ends := make(map[time.Time][]turmericwall.PlacementEnd)
+	ends := make(map[time.Time][]turmericwall.PlacementUpdate)
 	for millis := 0; millis < 6500; millis += 25 {
 		at := start.Add(time.Duration(millis) * time.Millisecond)
 		for targetAt, list := range ends {
@@ -32,7 +32,7 @@
 		id := fmt.Sprint("call", millis)
 		a.Enqueue(at, placeRequest(id, at, 2000, 300))
 		for _, p := range a.Decide(at).Placed {
-			end := turmericwall.PlacementEnd{ID: p.ID, Prefilled: true, PromptMillis: 40}
+			end := turmericwall.PlacementUpdate{ID: p.ID, Prefilled: true, PrefillMillis: 40}
 			if failing[p.Decode.ID] {
 				lost++
 				end.FailedEngine = p.Decode.ID
@@ -55,7 +55,7 @@
 	g := NewWithT(t)
 	a := newAllocator(5, 20)
 	for _, u := range engines(5, 20) {
-		a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: "none", FailedEngine: u.ID})
+		a.ApplyUpdate(start, turmericwall.PlacementUpdate{ID: "none", FailedEngine: u.ID})
 	}
 	at := start.Add(100 * time.Millisecond)
 	used := make(map[string]bool)
@@ -75,7 +75,7 @@
 	a := newAllocator(1, 2)
 	for millis := 0; millis < 2000; millis += 100 {
 		a.ApplyUpdate(start.Add(time.Duration(millis)*time.Millisecond),
-			turmericwall.PlacementEnd{ID: "none", SuspectedEngine: "p00"})
+			turmericwall.PlacementUpdate{ID: "none", SuspectedEngine: "p00"})
 	}
 	at := start.Add(2500 * time.Millisecond)
 	a.Enqueue(at, placeRequest("call", at, 500, 300))
--- a/internal/placement/twbooks/kept.go
+++ b/internal/placement/twbooks/kept.go
@@ -96,9 +96,9 @@
 
 // recordCacheOutcome records whether the engine had the prompt in its cache. Full engines evict cached prompts for new
 // runs.
-func (a *Books) recordCacheOutcome(now time.Time, r *run, end turmericwall.PlacementEnd) {
+func (a *Books) recordCacheOutcome(now time.Time, r *run, end turmericwall.PlacementUpdate) {
 	hit := 0.0
-	if float64(end.PromptMillis) <
+	if float64(end.PrefillMillis) <
 		cacheMissShare*float64(r.work.PromptTokens)/a.bestPrefillSpeed*a.tuning.LocalPrefillSlowdown {
 		hit = 1
 	}
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twbooks/kept_test.go
@@ -20,7 +20,9 @@
 		call.Owner = "killed"
 		a.Enqueue(start, call)
 		g.Expect(a.Decide(start).Placed).To(HaveLen(1))
-		a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: call.ID, Running: true, Prefilled: true, PromptMillis: 100})
+		a.ApplyUpdate(
+			start, turmericwall.PlacementUpdate{ID: call.ID, Running: true, Prefilled: true, PrefillMillis: 100},
+		)
 	}
 	a.ReleaseOwner("killed")
 	return a
@@ -51,7 +53,7 @@
 			continue
 		}
 		g.Expect(p.Prefill.ID).To(BeEmpty())
-		g.Expect(p.ReadDeadline.Sub(at)).To(BeNumerically("<", 50*time.Millisecond))
+		g.Expect(p.PrefillEndsAt.Sub(at)).To(BeNumerically("<", 50*time.Millisecond))
 	}
 }
 
@@ -84,9 +86,9 @@
 			prefilledElsewhere++
 		}
 		a.ApplyUpdate(
-			at, turmericwall.PlacementEnd{ID: placed[0].ID, Running: true, Prefilled: true, PromptMillis: 240},
+			at, turmericwall.PlacementUpdate{ID: placed[0].ID, Running: true, Prefilled: true, PrefillMillis: 240},
 		)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: placed[0].ID})
 		at = at.Add(300 * time.Millisecond)
 	}
 	g.Expect(prefilledElsewhere).To(BeNumerically(">=", 4))
@@ -130,9 +132,9 @@
 		call := placeRequest(fmt.Sprint("other", i), at, 8000, 1000)
 		a.Enqueue(at, call)
 		g.Expect(a.Decide(at).Placed).To(HaveLen(1))
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID, Running: true, Prefilled: true, PromptMillis: 100})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: call.ID, Running: true, Prefilled: true, PrefillMillis: 100})
 		at = at.Add(300 * time.Millisecond)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: call.ID})
 	}
 	a.Enqueue(at, retryOf(0, at))
 	d := a.Decide(at)
--- a/internal/placement/twbooks/shortage.go
+++ b/internal/placement/twbooks/shortage.go
@@ -38,15 +38,17 @@
 func (s *shortage) hasEnded(now time.Time) bool { return now.Sub(s.lastAt) > minSurplusSpan }
 
 // Need returns the shortage and surplus of each role and the mean cost of a call.
-func (a *Books) Need(now time.Time) turmericwall.EngineNeed {
-	need := turmericwall.EngineNeed{
-		Busy:    a.Busy(),
-		Readers: turmericwall.RoleNeed{Short: a.prefillShortage.isLasting(now), Spare: a.prefillShortage.hasEnded(now)},
-		Answerers: turmericwall.RoleNeed{
-			Short: a.decodeShortage.isLasting(now),
-			Spare: a.decodeShortage.hasEnded(now) && a.newDecisionState(now).memoryFill() < maxSurplusFill,
+func (a *Books) Need(now time.Time) turmericwall.EngineDemand {
+	need := turmericwall.EngineDemand{
+		Busy: a.Busy(),
+		Prefill: turmericwall.RoleDemand{
+			Shortage: a.prefillShortage.isLasting(now), Surplus: a.prefillShortage.hasEnded(now),
+		},
+		Decode: turmericwall.RoleDemand{
+			Shortage: a.decodeShortage.isLasting(now),
+			Surplus:  a.decodeShortage.hasEnded(now) && a.newDecisionState(now).memoryFill() < maxSurplusFill,
 		},
 	}
-	need.Cost, need.Known = a.cost.Mean(a.bestPrefillSpeed)
+	need.Cost, need.CostKnown = a.cost.Mean(a.bestPrefillSpeed)
 	return need
 }
--- a/internal/placement/twbooks/shortage_test.go
+++ b/internal/placement/twbooks/shortage_test.go
@@ -34,16 +34,16 @@
 	sim := newSimulation(1, 9)
 	sim.pausesStreams = true
 	at := requestAbovePrefillRate(sim, 1500*time.Millisecond)
-	g.Expect(sim.allocator.Need(at).Readers.Short).To(BeFalse(), "a burst")
+	g.Expect(sim.allocator.Need(at).Prefill.Shortage).To(BeFalse(), "a burst")
 	sim = newSimulation(1, 9)
 	sim.pausesStreams = true
 	at = requestAbovePrefillRate(sim, 5*time.Second)
 	need := sim.allocator.Need(at)
-	g.Expect(need.Readers).To(Equal(turmericwall.RoleNeed{Short: true}))
-	g.Expect(need.Answerers).To(Equal(turmericwall.RoleNeed{Spare: true}))
-	g.Expect(need.Known).To(BeTrue())
-	g.Expect(sim.allocator.Need(at.Add(16*time.Second)).Readers).To(
-		Equal(turmericwall.RoleNeed{Spare: true}), "the shortage has ended")
+	g.Expect(need.Prefill).To(Equal(turmericwall.RoleDemand{Shortage: true}))
+	g.Expect(need.Decode).To(Equal(turmericwall.RoleDemand{Surplus: true}))
+	g.Expect(need.CostKnown).To(BeTrue())
+	g.Expect(sim.allocator.Need(at.Add(16*time.Second)).Prefill).To(
+		Equal(turmericwall.RoleDemand{Surplus: true}), "the shortage has ended")
 }
 
 // Guards against taking decode engines away while or shortly after their memory was full, since bursts recur.
@@ -56,6 +56,6 @@
 		a.Decide(at)
 		at = at.Add(50 * time.Millisecond)
 	}
-	g.Expect(a.Need(at).Answerers).To(Equal(turmericwall.RoleNeed{Short: true}))
-	g.Expect(a.Need(at.Add(10 * time.Second)).Answerers.Spare).To(BeFalse())
+	g.Expect(a.Need(at).Decode).To(Equal(turmericwall.RoleDemand{Shortage: true}))
+	g.Expect(a.Need(at.Add(10 * time.Second)).Decode.Surplus).To(BeFalse())
 }
--- a/internal/placement/twbooks/speeds.go
+++ b/internal/placement/twbooks/speeds.go
@@ -8,7 +8,7 @@
 )
 
 // recordAnswer updates the decode speed of all engines and of the one that answered.
-func (a *Books) recordAnswer(end turmericwall.PlacementEnd) {
+func (a *Books) recordAnswer(end turmericwall.PlacementUpdate) {
 	speed := float64(end.AnswerTokens) / float64(end.AnswerMillis)
 	a.decodeSpeed = movingAverage(a.decodeSpeed, speed)
 	a.cost.RecordAnswer(float64(end.AnswerTokens), float64(end.AnswerMillis))
@@ -29,7 +29,7 @@
 }
 
 // recordPrefill records that the prefill has ended and the answer begins.
-func (a *Books) recordPrefill(now time.Time, end turmericwall.PlacementEnd) {
+func (a *Books) recordPrefill(now time.Time, end turmericwall.PlacementUpdate) {
 	engineID, ok := a.engineByCall[end.ID]
 	if !ok {
 		return
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -111,7 +111,7 @@
 }
 
 // refund refunds the units of a placed call that no engine ran.
-func (c *Coordinator) refund(end turmericwall.PlacementEnd) {
+func (c *Coordinator) refund(end turmericwall.PlacementUpdate) {
 	if end.Running {
 		return
 	}
@@ -138,8 +138,8 @@
 	}
 }
 
-// Finish applies a report on a placed call and makes the decisions that it allows.
-func (c *Coordinator) Finish(end turmericwall.PlacementEnd) {
+// ApplyUpdate applies a report on a placed call and makes the decisions that it allows.
+func (c *Coordinator) ApplyUpdate(end turmericwall.PlacementUpdate) {
 	c.refund(end)
 	now := time.Now()
 	c.mu.Lock()
@@ -210,7 +210,7 @@
 }
 
 // Need returns the shortage and surplus of engines of each role for the service's calls.
-func (c *Coordinator) Need(service string) turmericwall.EngineNeed {
+func (c *Coordinator) Need(service string) turmericwall.EngineDemand {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/placement/twcoordinator/coordinator_test.go
+++ b/internal/placement/twcoordinator/coordinator_test.go
@@ -71,6 +71,6 @@
 	placement, err := c.Place(context.Background(), placeRequest("mine"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(placement.Prefill.ID).To(Equal("p1"))
-	c.Finish(turmericwall.PlacementEnd{ID: "mine", Service: "s"})
+	c.ApplyUpdate(turmericwall.PlacementUpdate{ID: "mine", Service: "s"})
 	g.Expect(c.Need("s").Busy).To(BeFalse())
 }
--- a/internal/placement/twcost/cost.go
+++ b/internal/placement/twcost/cost.go
@@ -83,8 +83,8 @@
 	decodeSpeed := c.answerTokens / c.answerMillis
 	meanPrefillMillis := c.promptTokens / c.callWeight / prefillSpeed
 	return turmericwall.CallCost{
-		ReadMillis:   meanPrefillMillis,
-		AnswerMillis: c.shareTokens/c.callWeight/decodeSpeed + c.engineShare/c.callWeight*meanPrefillMillis,
+		PrefillMillis: meanPrefillMillis,
+		DecodeMillis:  c.shareTokens/c.callWeight/decodeSpeed + c.engineShare/c.callWeight*meanPrefillMillis,
 	}, true
 }
 
--- a/internal/placement/twcost/cost_test.go
+++ b/internal/placement/twcost/cost_test.go
@@ -31,12 +31,12 @@
 		PromptTokens: 5000, AnswerTokens: 1000, Slots: 64, MemoryTokens: 55_000,
 	}).Mean(50)
 	g.Expect(ok).To(BeTrue())
-	g.Expect(cost.ReadMillis).To(BeNumerically("~", 100, 0.1))
-	g.Expect(cost.AnswerMillis).To(BeNumerically("~", 510, 0.1), "a tenth of the memory for 5,100 ms")
+	g.Expect(cost.PrefillMillis).To(BeNumerically("~", 100, 0.1))
+	g.Expect(cost.DecodeMillis).To(BeNumerically("~", 510, 0.1), "a tenth of the memory for 5,100 ms")
 	cost, _ = costAfterCalls(100, twcost.Call{
 		PromptTokens: 5000, AnswerTokens: 1000, Slots: 4, MemoryTokens: 55_000,
 	}).Mean(50)
-	g.Expect(cost.AnswerMillis).To(BeNumerically("~", 1275, 0.1), "a quarter of the slots")
+	g.Expect(cost.DecodeMillis).To(BeNumerically("~", 1275, 0.1), "a quarter of the slots")
 }
 
 // Guards against a mean that lags behind when the traffic changes from long answers to long prompts. It must follow
@@ -49,7 +49,7 @@
 		c.RecordCall(twcost.Call{PromptTokens: 9000, AnswerTokens: 200, Slots: 64, MemoryTokens: 50_000})
 	}
 	after, _ := c.Mean(50)
-	g.Expect(after.ReadMillis).To(BeNumerically(">", 8*before.ReadMillis))
+	g.Expect(after.PrefillMillis).To(BeNumerically(">", 8*before.PrefillMillis))
 }
 
 func TestPrefillSpeedIsMeasuredFromConsecutivePrompts(t *testing.T) {
@@ -59,5 +59,5 @@
 		c.RecordPrefill(5000, 200)
 	}
 	cost, _ := c.Mean(50)
-	g.Expect(cost.ReadMillis).To(BeNumerically("~", 200, 0.1))
+	g.Expect(cost.PrefillMillis).To(BeNumerically("~", 200, 0.1))
 }
--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -42,7 +42,7 @@
 	// placedCalls are this daemon's placed calls by id, to be reported to a new leader.
 	placedCalls map[string]*placedCall
 	// pendingEnds are the reports on calls that have not been sent to the leader.
-	pendingEnds []turmericwall.PlacementEnd
+	pendingEnds []turmericwall.PlacementUpdate
 	wake        chan struct{}
 	// informedLeader is the leader that has received the placed calls.
 	informedLeader turmericwall.Member
@@ -92,9 +92,9 @@
 	return placement, err
 }
 
-// Finish applies a report on a placed call locally and queues it for the leader; it never blocks on the network.
-func (d *Delegate) Finish(end turmericwall.PlacementEnd) {
-	d.config.Own.Finish(end)
+// ApplyUpdate applies a report on a placed call locally and queues it for the leader; it never blocks on the network.
+func (d *Delegate) ApplyUpdate(end turmericwall.PlacementUpdate) {
+	d.config.Own.ApplyUpdate(end)
 	d.mu.Lock()
 	if run, ok := d.placedCalls[end.ID]; ok && end.Running && end.Prefilled {
 		run.started = true
@@ -159,7 +159,7 @@
 	}
 	d.recordPlaced(request, placement)
 	d.config.Own.Adopt(turmericwall.PlacedCall{
-		Request: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.ReadDeadline).Milliseconds(),
+		Request: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.PrefillEndsAt).Milliseconds(),
 	})
 	return placement, nil
 }
@@ -189,13 +189,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placedCalls[request.ID] = &placedCall{
-		request: request, engine: placement.Decode.ID, prefillEndsAt: placement.ReadDeadline,
+		request: request, engine: placement.Decode.ID, prefillEndsAt: placement.PrefillEndsAt,
 	}
 }
 
 // withdraw reports the end of a call whose request got no answer, since the leader may have placed it.
 func (d *Delegate) withdraw(request turmericwall.PlaceRequest) {
-	d.Finish(turmericwall.PlacementEnd{ID: request.ID, Service: request.Service})
+	d.ApplyUpdate(turmericwall.PlacementUpdate{ID: request.ID, Service: request.Service})
 }
 
 // reportPlacedCalls sends this daemon's placed calls to a new leader once.
@@ -233,7 +233,7 @@
 	if len(ends) == 0 {
 		return
 	}
-	if err := d.config.Peers.Finish(ctx, leader.Address, ends); err != nil {
+	if err := d.config.Peers.SendUpdates(ctx, leader.Address, ends); err != nil {
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
 			Str("leader", leader.Name).Int("ends", int64(len(ends))).Err(err).Send()
 		d.mu.Lock()
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -22,7 +22,7 @@
 	turmericwall.PeerClient
 	mu      sync.Mutex
 	place   func(ctx context.Context) (turmericwall.Placement, error)
-	ended   []turmericwall.PlacementEnd
+	ended   []turmericwall.PlacementUpdate
 	runs    []turmericwall.PlacedCall
 	reports int
 	failing bool
@@ -36,7 +36,7 @@
 	return p, err
 }
 
-func (l *fakeLeader) Finish(_ context.Context, _ string, ends []turmericwall.PlacementEnd) error {
+func (l *fakeLeader) SendUpdates(_ context.Context, _ string, ends []turmericwall.PlacementUpdate) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failing {
@@ -144,7 +144,7 @@
 	p, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(p.Reason).To(Equal("leader"))
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s"})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s"})
 	g.Eventually(func() int { ended, _, _ := s.leader.counts(); return ended }).Should(Equal(1))
 }
 
@@ -164,13 +164,13 @@
 	g := NewWithT(t)
 	s := newFixture(t)
 	s.leader.place = func(context.Context) (turmericwall.Placement, error) {
-		return turmericwall.Placement{Decode: turmericwall.Upstream{ID: "d"}, ReadDeadline: time.Now()}, nil
+		return turmericwall.Placement{Decode: turmericwall.Upstream{ID: "d"}, PrefillEndsAt: time.Now()}, nil
 	}
 	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, Prefilled: true})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s", Running: true, Prefilled: true})
 	time.Sleep(300 * time.Millisecond)
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, Paused: true})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s", Running: true, EventGapExceeded: true})
 	s.setLeader("next", true)
 	g.Eventually(s.leader.oldestMillis, "2s").Should(BeNumerically(">=", 300))
 }
@@ -230,7 +230,7 @@
 	s.leader.mu.Lock()
 	s.leader.failing = true
 	s.leader.mu.Unlock()
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s"})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s"})
 	g.Consistently(func() int { ended, _, _ := s.leader.counts(); return ended }, 150*time.Millisecond).Should(BeZero())
 	s.leader.mu.Lock()
 	s.leader.failing = false
--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twordering/orders.go
@@ -26,7 +26,7 @@
 	Upstreams turmericwall.Upstreams
 	// Fence returns the fencing token; ok is false while this daemon does not hold the lease and must not order.
 	Fence func() (int64, bool)
-	Need  func(service string) turmericwall.EngineNeed
+	Need  func(service string) turmericwall.EngineDemand
 	// Changed is called for an engine that accepted an order; until is when its change has finished at the latest.
 	Changed func(id string, role turmericwall.Role, until time.Time)
 	// Holder is the name of this daemon, which each order carries with the fencing token.
@@ -79,8 +79,8 @@
 		entry := o.config.Recorder.Record(turmericwall.EventRoleOrdered).
 			Str("upstream", change.Upstream.ID).Str("role", string(change.Role)).
 			Int("prefills", int64(change.Prefills)).Int("decodes", int64(change.Decodes)).
-			Int("readMicros", int64(change.Cost.ReadMillis*1000)).
-			Int("answerMicros", int64(change.Cost.AnswerMillis*1000))
+			Int("readMicros", int64(change.Cost.PrefillMillis*1000)).
+			Int("answerMicros", int64(change.Cost.DecodeMillis*1000))
 		if err != nil {
 			entry = entry.Err(err)
 		}
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -46,9 +46,9 @@
 			return []turmericwall.ServicePlan{{Name: "s", Engine: &turmericwall.EnginePlan{RoleChangeMillis: 500}}}
 		},
 		Engines: func(string) []turmericwall.Upstream { return list }, Upstreams: e, Fence: fence,
-		Need: func(string) turmericwall.EngineNeed {
+		Need: func(string) turmericwall.EngineDemand {
 			onNeed()
-			return turmericwall.EngineNeed{}
+			return turmericwall.EngineDemand{}
 		},
 		Changed: e.roleChanges.Note, Holder: "me", Tuning: twroles.DefaultTuning(),
 		Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -79,7 +79,7 @@
 // An engine serves no calls while it changes its role. While calls are under way, an engine therefore changes only if
 // that raises what all engines together can serve, and if its pool can spare it during the change.
 func (r *Planner) Plan(
-	now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, need turmericwall.EngineNeed,
+	now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, need turmericwall.EngineDemand,
 ) []Change {
 	r.trackPresence(now, engines)
 	if !r.settled(now, len(engines)) {
@@ -108,8 +108,8 @@
 }
 
 // nextRole returns the role that one more engine should take; ok is false if the split should stay.
-func (r *Planner) nextRole(p *pools, need turmericwall.EngineNeed) (turmericwall.Role, bool) {
-	if !need.Known {
+func (r *Planner) nextRole(p *pools, need turmericwall.EngineDemand) (turmericwall.Role, bool) {
+	if !need.CostKnown {
 		return r.nextRoleByShare(p.final, need.Busy)
 	}
 	for _, role := range []turmericwall.Role{turmericwall.RolePrefill, turmericwall.RoleDecode} {
@@ -131,11 +131,11 @@
 // needsEngine reports whether the role should get an engine while calls are under way: it has none; or for prefill,
 // calls find no prefill engine in time and decode engines have a surplus; or for decode, prefill engines have a
 // surplus.
-func (p *pools) needsEngine(role turmericwall.Role, need turmericwall.EngineNeed) bool {
+func (p *pools) needsEngine(role turmericwall.Role, need turmericwall.EngineDemand) bool {
 	if role == turmericwall.RolePrefill {
-		return (need.Readers.Short && need.Answerers.Spare) || p.final.Prefills == 0
+		return (need.Prefill.Shortage && need.Decode.Surplus) || p.final.Prefills == 0
 	}
-	return need.Readers.Spare || p.final.Decodes == 0
+	return need.Prefill.Surplus || p.final.Decodes == 0
 }
 
 // nextRoleByShare returns the role that lacks engines while the cost of calls is unknown.
--- a/internal/placement/twroles/roles_test.go
+++ b/internal/placement/twroles/roles_test.go
@@ -15,22 +15,22 @@
 	start = time.Unix(1000, 0)
 	plan  = turmericwall.EnginePlan{RoleChangeMillis: 6000}
 	// idle is the need before any call arrived, busy that of calls whose cost is still unknown.
-	idle = turmericwall.EngineNeed{}
-	busy = turmericwall.EngineNeed{Busy: true}
+	idle = turmericwall.EngineDemand{}
+	busy = turmericwall.EngineDemand{Busy: true}
 	// decodeHeavy and prefillHeavy are costs at which one engine in four, and two in five, should prefill.
-	decodeHeavy  = turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 300}
-	prefillHeavy = turmericwall.CallCost{ReadMillis: 200, AnswerMillis: 300}
+	decodeHeavy  = turmericwall.CallCost{PrefillMillis: 100, DecodeMillis: 300}
+	prefillHeavy = turmericwall.CallCost{PrefillMillis: 200, DecodeMillis: 300}
 )
 
 // busyNeed is the need of calls with the given cost.
-func busyNeed(cost turmericwall.CallCost, readers, answerers turmericwall.RoleNeed) turmericwall.EngineNeed {
-	return turmericwall.EngineNeed{Busy: true, Known: true, Cost: cost, Readers: readers, Answerers: answerers}
+func busyNeed(cost turmericwall.CallCost, readers, answerers turmericwall.RoleDemand) turmericwall.EngineDemand {
+	return turmericwall.EngineDemand{Busy: true, CostKnown: true, Cost: cost, Prefill: readers, Decode: answerers}
 }
 
 var (
-	shortage = turmericwall.RoleNeed{Short: true}
-	surplus  = turmericwall.RoleNeed{Spare: true}
-	balanced = turmericwall.RoleNeed{}
+	shortage = turmericwall.RoleDemand{Shortage: true}
+	surplus  = turmericwall.RoleDemand{Surplus: true}
+	balanced = turmericwall.RoleDemand{}
 )
 
 func engines(prefills, decodes int) []turmericwall.Upstream {
@@ -171,7 +171,9 @@
 func TestTheSplitFollowsTheLoadAtAllSizes(t *testing.T) {
 	g := NewWithT(t)
 	for _, total := range []int{3, 6, 12, 18, 60} {
-		for _, cost := range []turmericwall.CallCost{decodeHeavy, prefillHeavy, {ReadMillis: 300, AnswerMillis: 100}} {
+		for _, cost := range []turmericwall.CallCost{
+			decodeHeavy, prefillHeavy, {PrefillMillis: 300, DecodeMillis: 100},
+		} {
 			list := engines(total/2, total-total/2)
 			r, at := settledPlanner(list)
 			need := busyNeed(cost, surplus, surplus)
@@ -184,7 +186,7 @@
 					prefills--
 				}
 			}
-			wantPrefills := float64(total) * cost.ReadMillis / (cost.ReadMillis + cost.AnswerMillis)
+			wantPrefills := float64(total) * cost.PrefillMillis / (cost.PrefillMillis + cost.DecodeMillis)
 			g.Expect(prefills).To(BeNumerically("~", wantPrefills, 1), "%d engines, %+v", total, cost)
 			g.Expect(prefills).To(And(BeNumerically(">", 0), BeNumerically("<", total)))
 		}
--- a/internal/placement/twsplit/split.go
+++ b/internal/placement/twsplit/split.go
@@ -33,8 +33,8 @@
 		return 0
 	}
 	return min(
-		float64(s.Prefills)/max(cost.ReadMillis, minCostMillis),
-		float64(s.Decodes)/max(cost.AnswerMillis, minCostMillis),
+		float64(s.Prefills)/max(cost.PrefillMillis, minCostMillis),
+		float64(s.Decodes)/max(cost.DecodeMillis, minCostMillis),
 	)
 }
 
--- a/internal/placement/twsplit/split_test.go
+++ b/internal/placement/twsplit/split_test.go
@@ -9,7 +9,7 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twsplit"
 )
 
-var cost = turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 300}
+var cost = turmericwall.CallCost{PrefillMillis: 100, DecodeMillis: 300}
 
 func TestRateIsLimitedByScarcerRole(t *testing.T) {
 	g := NewWithT(t)
@@ -21,7 +21,7 @@
 // Guards against a split with one prefill engine for eleven decode engines, whose loss would stop every call.
 func TestWorthIncludesLossOfOneEngine(t *testing.T) {
 	g := NewWithT(t)
-	cost := turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 1000}
+	cost := turmericwall.CallCost{PrefillMillis: 100, DecodeMillis: 1000}
 	one := twsplit.Split{Prefills: 1, Decodes: 11}
 	g.Expect(one.Rate(cost)).To(BeNumerically("~", 0.01, 1e-9))
 	g.Expect(one.Worth(cost)).To(BeNumerically("~", (0.01+0.01*11/12)/2, 1e-9))
@@ -39,7 +39,7 @@
 // by a fifth.
 func TestBestSplitIsFoundOverSeveralMoves(t *testing.T) {
 	g := NewWithT(t)
-	cost := turmericwall.CallCost{ReadMillis: 104, AnswerMillis: 480}
+	cost := turmericwall.CallCost{PrefillMillis: 104, DecodeMillis: 480}
 	s := twsplit.Split{Prefills: 18, Decodes: 42}
 	best := s.Best(turmericwall.RoleDecode, cost)
 	g.Expect(best.Prefills).To(BeNumerically("~", 11, 1))
--- a/peering.go
+++ b/peering.go
@@ -172,8 +172,8 @@
 	FetchState(ctx context.Context, address string, ask StateRequest) (SharedState, error)
 	// Place requests a placement from the leader. The error is a *Problem if the leader refused the call.
 	Place(ctx context.Context, address string, ask PlaceRequest) (Placement, error)
-	// Finish reports the progress and the end of placed calls to the leader.
-	Finish(ctx context.Context, address string, ends []PlacementEnd) error
+	// SendUpdates reports the progress and the end of placed calls to the leader.
+	SendUpdates(ctx context.Context, address string, ends []PlacementUpdate) error
 	// ReportPlacedCalls reports this daemon's placed calls to a new leader.
 	ReportPlacedCalls(ctx context.Context, address string, runs []PlacedCall) error
 	// Admit requests sends to an upstream from the rate coordinator.
--- a/placements.go
+++ b/placements.go
@@ -42,17 +42,17 @@
 	Prefill Upstream
 	// ReserveTokens is the memory to reserve at the decode engine, in tokens.
 	ReserveTokens int
-	// ReadDeadline is when the prefill is expected to end.
-	ReadDeadline time.Time
+	// PrefillEndsAt is when the prefill is expected to end.
+	PrefillEndsAt time.Time
 	// Late is set if the first event can't be on time any more.
 	Late bool
 	// Reason states in a few words what decided the choice of engines.
 	Reason string
 }
 
-// PlacementEnd reports the progress of a placed call while Running is set, and its end otherwise. Daemons send it to
+// PlacementUpdate reports the progress of a placed call while Running is set, and its end otherwise. Daemons send it to
 // the leader as JSON; the tags are the names of the fields there.
-type PlacementEnd struct {
+type PlacementUpdate struct {
 	ID      string `json:"ID"`
 	Service string `json:"Service"`
 	// FullEngine is the ID of the engine that refused the reservation or the call because its memory is full.
@@ -66,42 +66,42 @@
 	// Running is set if the call continues.
 	Running bool `json:"Running"`
 	// Prefilled is set if the prefill has ended; PromptMillis is its duration.
-	Prefilled    bool  `json:"PromptRead"`
-	PromptMillis int64 `json:"PromptMillis"`
+	Prefilled     bool  `json:"PromptRead"`
+	PrefillMillis int64 `json:"PromptMillis"`
 	// AnswerTokens is the number of tokens that were decoded in the AnswerMillis since the first event.
 	AnswerTokens int   `json:"AnswerTokens"`
 	AnswerMillis int64 `json:"AnswerMillis"`
-	// Paused is set if the time between two events of the stream exceeded EventGapMillis of the request.
-	Paused bool `json:"Paused"`
+	// EventGapExceeded is set if the time between two events of the stream exceeded EventGapMillis of the request.
+	EventGapExceeded bool `json:"Paused"`
 }
 
 // CallCost is the mean engine time that one model call takes, in milliseconds of an engine that does nothing else.
 type CallCost struct {
-	// ReadMillis is the time of a prefill engine.
-	ReadMillis float64
-	// AnswerMillis is the time of a decode engine: the larger of the call's shares of the engine's memory and of its
+	// PrefillMillis is the time of a prefill engine.
+	PrefillMillis float64
+	// DecodeMillis is the time of a decode engine: the larger of the call's shares of the engine's memory and of its
 	// slots, times how long the call holds them.
-	AnswerMillis float64
+	DecodeMillis float64
 }
 
-// EngineNeed is the demand of a service's calls for its engines. The leader divides the engines between the roles by
+// EngineDemand is the demand of a service's calls for its engines. The leader divides the engines between the roles by
 // it.
-type EngineNeed struct {
+type EngineDemand struct {
 	// Busy is set while calls are placed or waiting.
 	Busy bool
-	// Readers is about the prefill engines, Answerers about the decode engines.
-	Readers, Answerers RoleNeed
+	// Prefill is about the prefill engines, Answerers about the decode engines.
+	Prefill, Decode RoleDemand
 	// Cost is the mean cost of a call. Known is false while too few calls have been measured.
-	Cost  CallCost
-	Known bool
+	Cost      CallCost
+	CostKnown bool
 }
 
-// RoleNeed states whether the engines of one role suffice for the calls.
-type RoleNeed struct {
-	// Short is set during a shortage: for longer than a burst, calls find no engine of the role in time.
-	Short bool
-	// Spare is set during a surplus: an engine can change to the other role.
-	Spare bool
+// RoleDemand states whether the engines of one role suffice for the calls.
+type RoleDemand struct {
+	// Shortage is set during a shortage: for longer than a burst, calls find no engine of the role in time.
+	Shortage bool
+	// Surplus is set during a surplus: an engine can change to the other role.
+	Surplus bool
 }
 
 // EnginePlacer decides on which engines model calls run, before anything is sent to an engine.
@@ -109,7 +109,7 @@
 	// Place blocks until the call is placed, refused or ctx ends. The error is a *Problem; that of a refusal has a
 	// retry time.
 	Place(ctx context.Context, ask PlaceRequest) (Placement, error)
-	// Finish applies a report on a placed call, and releases the call's memory and slot unless Running is set. It never
-	// blocks.
-	Finish(end PlacementEnd)
+	// ApplyUpdate applies a report on a placed call, and releases the call's memory and slot unless Running is set. It
+	// never blocks.
+	ApplyUpdate(end PlacementUpdate)
 }
