--- a/clients.go
+++ b/clients.go
@@ -42,8 +42,8 @@
 type QuotaMeter interface {
 	// Charge charges units to the account's quota. The error is a *Problem with a retry time.
 	Charge(account string, units float64) error
-	// ChargeAlone charges units for a call that is placed without the leader.
-	ChargeAlone(account string, units float64) error
+	// ChargeLocally charges units for a call that is placed without the leader.
+	ChargeLocally(account string, units float64) error
 	// Refund returns the units that were charged for a call that did not run.
 	Refund(account string, units float64)
 }
--- a/internal/admission/twquota/alone.go
+++ b/internal/admission/twquota/alone.go
@@ -2,10 +2,10 @@
 
 import "github.com/turmericwall/turmericwall"
 
-// ChargeAlone charges a call that the leader should have charged but did not answer. The leader may have terminated
+// ChargeLocally charges a call that the leader should have charged but did not answer. The leader may have terminated
 // without being missed yet, and its last levels do not include what other daemons charge at the same time. The error is
 // a *Problem with a retry time.
-func (m *Meter) ChargeAlone(account string, units float64) error {
+func (m *Meter) ChargeLocally(account string, units float64) error {
 	found, ok := m.config.Account(account)
 	if !ok || !found.Quota.Limits() || units <= 0 {
 		return nil
--- a/internal/admission/twquota/bound_test.go
+++ b/internal/admission/twquota/bound_test.go
@@ -191,7 +191,7 @@
 		for sent < units || (plain && sent < model/3) {
 			charge := at.Charge
 			if !plain && !led {
-				charge = at.ChargeAlone
+				charge = at.ChargeLocally
 			}
 			if charge(account, units) == nil {
 				if account == "a" {
--- a/internal/admission/twquota/meter_test.go
+++ b/internal/admission/twquota/meter_test.go
@@ -303,8 +303,8 @@
 	f.leaderDiedAt = f.now
 	f.now = f.now.Add(300 * time.Millisecond)
 	for _, m := range f.meters[1:] {
-		g.Expect(m.ChargeAlone("a", 200)).NotTo(Succeed(), "the share is a quarter of 200 left and of 300 refilled")
-		g.Expect(m.ChargeAlone("b", 200)).To(Succeed(), "far below its quota")
+		g.Expect(m.ChargeLocally("a", 200)).NotTo(Succeed(), "the share is a quarter of 200 left and of 300 refilled")
+		g.Expect(m.ChargeLocally("b", 200)).To(Succeed(), "far below its quota")
 	}
 	f.now = f.now.Add(300 * time.Millisecond)
 	g.Expect(chargeCalls(f.meters[1], "a", 200, 5)).To(Equal(1), "the leader's levels have expired")
--- a/internal/admission/twquota/model_test.go
+++ b/internal/admission/twquota/model_test.go
@@ -99,7 +99,7 @@
 	case f.leader >= 0 && !f.leaderDead() && !f.partitioned[i] && !f.partitioned[f.leader]:
 		return f.meters[f.leader].Charge("a", unitsPerCall)
 	}
-	return f.meters[i].ChargeAlone("a", unitsPerCall)
+	return f.meters[i].ChargeLocally("a", unitsPerCall)
 }
 
 // Guards against an account that exceeds its quota by more than the tolerance in any sequence of leader deaths,
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -111,7 +111,7 @@
 
 // Admit admits one send to the upstream. The error is a *Problem with a retry time.
 func (t *Throttle) Admit(ctx context.Context, upstream turmericwall.UpstreamKey) error {
-	if until := t.ClosedUntil(upstream); !until.IsZero() {
+	if until := t.BackoffUntil(upstream); !until.IsZero() {
 		return turmericwall.NewProblem(turmericwall.KindOverloaded,
 			fmt.Sprintf("the upstream %s wants no call from this daemon for now", upstream.ID),
 			"retry after the delay in Retry-After").WithRetryAt(until)
@@ -136,8 +136,8 @@
 	return t.useSlot(upstream, rate)
 }
 
-// ClosedUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
-func (t *Throttle) ClosedUntil(upstream turmericwall.UpstreamKey) time.Time {
+// BackoffUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
+func (t *Throttle) BackoffUntil(upstream turmericwall.UpstreamKey) time.Time {
 	return t.config.Backoffs.Until(t.config.Now(), upstream)
 }
 
@@ -259,8 +259,8 @@
 		"retry after the delay in Retry-After").WithRetryAt(a.retryAt)
 }
 
-// Return returns an admitted send that was not made, so that this daemon may use it for another call.
-func (t *Throttle) Return(upstream turmericwall.UpstreamKey) {
+// ReturnSend returns an admitted send that was not made, so that this daemon may use it for another call.
+func (t *Throttle) ReturnSend(upstream turmericwall.UpstreamKey) {
 	if _, limited := t.config.Rates.Rate(upstream); !limited {
 		return
 	}
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -81,7 +81,7 @@
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed())
 	g.Expect(p.requests).To(HaveLen(2), "the second send was granted with the first one")
 	now = now.Add(time.Second)
-	throttle.Return(key)
+	throttle.ReturnSend(key)
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed(), "uses the returned send")
 	g.Expect(p.requests).To(HaveLen(2))
 }
--- a/internal/delivery/twdelivery/delivery.go
+++ b/internal/delivery/twdelivery/delivery.go
@@ -62,8 +62,8 @@
 	return r.deliver(ctx)
 }
 
-// Wanted returns those of the attempts that are still active on this daemon.
-func (d *Delivery) Wanted(attempts []string) []string {
+// FilterWanted returns those of the attempts that are still active on this daemon.
+func (d *Delivery) FilterWanted(attempts []string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var wanted []string
--- a/internal/delivery/twrelay/account_test.go
+++ b/internal/delivery/twrelay/account_test.go
@@ -38,7 +38,7 @@
 	return w
 }
 
-func answerOK(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+func answerOK(context.Context, turmericwall.Upstream, turmericwall.OutgoingCall) (*turmericwall.Answer, error) {
 	return answer(200, "ok"), nil
 }
 
--- a/internal/delivery/twrelay/announced_test.go
+++ b/internal/delivery/twrelay/announced_test.go
@@ -21,7 +21,9 @@
 		for _, kind := range plainKinds {
 			g := NewWithT(t)
 			s := newFixture(kind)
-			s.upstreams.send = func(_ context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+			s.upstreams.send = func(
+				_ context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
+			) (*turmericwall.Answer, error) {
 				s.announceLeaving("b")
 				if to.ID == "a" {
 					return nil, notRunError()
@@ -56,7 +58,9 @@
 		g := NewWithT(t)
 		s := newModelFixture(splitPlacement("d1"), turmericwall.Placement{Decode: engine("d2", turmericwall.RoleDecode)})
 		s.announceLeaving("d2")
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			s.announceLeaving("d1")
 			a := answer(200, "")
 			a.Length, a.Body = -1, &slowBody{parts: []string{events(1, 2), events(3, 4)}, pause: 150 * time.Millisecond}
--- a/internal/delivery/twrelay/failing_test.go
+++ b/internal/delivery/twrelay/failing_test.go
@@ -18,7 +18,9 @@
 func TestAnErrorOfADecodeEngineIsToldToThePlacer(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		body := io.NopCloser(strings.NewReader("broken"))
 		return &turmericwall.Answer{Status: 500, Length: 6, Header: http.Header{}, Body: body}, nil
 	}
@@ -33,7 +35,9 @@
 func TestADecodeEngineThatHangsIsToldToThePlacer(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		<-ctx.Done()
 		return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
 	}
@@ -66,7 +70,9 @@
 func TestAnEngineWhoseExportExpiredIsOnlySuspected(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
-	s.upstreams.send = func(_ context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		_ context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if to.ID == "d1" {
 			return nil, &turmericwall.SendError{Sent: true, NotRun: true, Err: errConnectionReset}
 		}
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -25,13 +25,15 @@
 )
 
 // sendFunc simulates one upstream's answer to one send.
-type sendFunc func(ctx context.Context, to turmericwall.Upstream, call turmericwall.Outgoing) (*turmericwall.Answer, error)
+type sendFunc func(
+	ctx context.Context, to turmericwall.Upstream, call turmericwall.OutgoingCall,
+) (*turmericwall.Answer, error)
 
 // fakeUpstreams simulates all upstreams and counts what reaches them.
 type fakeUpstreams struct {
 	mu      sync.Mutex
 	send    sendFunc
-	sends   []turmericwall.Outgoing
+	sends   []turmericwall.OutgoingCall
 	targets []string
 	prefill func(n int) (turmericwall.EngineExport, error)
 	// hangingPrefills are engines that never finish a prefill.
@@ -46,7 +48,7 @@
 }
 
 func (u *fakeUpstreams) Send(
-	ctx context.Context, to turmericwall.Upstream, call turmericwall.Outgoing,
+	ctx context.Context, to turmericwall.Upstream, call turmericwall.OutgoingCall,
 ) (*turmericwall.Answer, error) {
 	u.mu.Lock()
 	u.sends = append(u.sends, call)
@@ -56,7 +58,7 @@
 }
 
 func (u *fakeUpstreams) Prefill(
-	ctx context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing,
+	ctx context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
 ) (turmericwall.EngineExport, error) {
 	if u.hangingPrefills[to.ID] {
 		<-ctx.Done()
@@ -108,7 +110,7 @@
 	return u.move(from, to)
 }
 
-func (u *fakeUpstreams) Kept(context.Context, turmericwall.Upstream) ([]turmericwall.KeptPrompt, error) {
+func (u *fakeUpstreams) CachedPrompts(context.Context, turmericwall.Upstream) ([]turmericwall.CachedPrompt, error) {
 	return nil, nil
 }
 
@@ -174,7 +176,7 @@
 	return nil
 }
 
-func (t *fakeThrottle) ClosedUntil(upstream turmericwall.UpstreamKey) time.Time {
+func (t *fakeThrottle) BackoffUntil(upstream turmericwall.UpstreamKey) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.backoffUntil[upstream.ID]
@@ -187,7 +189,7 @@
 	t.closedUntil[id] = t.backoffUntil[id]
 }
 
-func (t *fakeThrottle) Return(upstream turmericwall.UpstreamKey) {
+func (t *fakeThrottle) ReturnSend(upstream turmericwall.UpstreamKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.admitted[upstream.ID]--
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -92,7 +92,7 @@
 	anyDecodeOpen := false
 	var earliestRetryAt time.Time
 	for _, u := range r.config.View.Upstreams(a.service.Name) {
-		until := r.config.Throttle.ClosedUntil(u.Key())
+		until := r.config.Throttle.BackoffUntil(u.Key())
 		if until.IsZero() {
 			anyDecodeOpen = anyDecodeOpen || (u.Role == turmericwall.RoleDecode && !u.Leaving)
 			continue
@@ -114,7 +114,7 @@
 	if !r.config.View.Takes(engine.Key()) {
 		return errLeaving
 	}
-	if !r.config.Throttle.ClosedUntil(engine.Key()).IsZero() {
+	if !r.config.Throttle.BackoffUntil(engine.Key()).IsZero() {
 		return errBackOff
 	}
 	return nil
@@ -149,7 +149,7 @@
 		}
 		return false, notRunProblem(err)
 	}
-	out := turmericwall.Outgoing{
+	out := turmericwall.OutgoingCall{
 		Call: a.call, Deadline: a.deadline, Reservation: reservation,
 		Priority: queuePriority(a.route, p),
 	}
@@ -175,7 +175,7 @@
 // runPrefill has the placement's prefill engine, if there is one, compute and export the prompt; done reports whether
 // the call must not be placed again.
 func (r *Relay) runPrefill(
-	ctx context.Context, a *attempt, p turmericwall.Placement, out *turmericwall.Outgoing,
+	ctx context.Context, a *attempt, p turmericwall.Placement, out *turmericwall.OutgoingCall,
 	end *turmericwall.PlacementUpdate, avoid *[]string,
 ) (done bool, err error) {
 	if p.Prefill.ID == "" {
@@ -229,7 +229,7 @@
 		return "", nil
 	}
 	if err := r.config.Throttle.Admit(ctx, p.Prefill.Key()); err != nil {
-		r.config.Throttle.Return(p.Decode.Key())
+		r.config.Throttle.ReturnSend(p.Decode.Key())
 		return p.Prefill.ID, err
 	}
 	return "", nil
@@ -239,7 +239,7 @@
 func (r *Relay) returnAdmissions(engines ...turmericwall.Upstream) {
 	for _, e := range engines {
 		if e.ID != "" {
-			r.config.Throttle.Return(e.Key())
+			r.config.Throttle.ReturnSend(e.Key())
 		}
 	}
 }
@@ -271,19 +271,19 @@
 	ctx context.Context, p turmericwall.Placement, err error, end *turmericwall.PlacementUpdate, avoid *[]string,
 ) (bool, error) {
 	var sent *turmericwall.SendError
-	if !errors.As(err, &sent) || !sent.Safe() {
+	if !errors.As(err, &sent) || !sent.IsSafeToResend() {
 		if ctx.Err() == nil {
 			end.FailedEngine = p.Decode.ID
 		}
 		return true, sendProblem(err)
 	}
 	switch {
-	case sent.NotRun && !sent.Gone && p.Prefill.ID != "":
+	case sent.NotRun && !sent.IncarnationReplaced && p.Prefill.ID != "":
 		// Either the export expired, or the decode engine refuses calls although it granted the reservation. This call
 		// avoids both; the engine that works is cleared by its next success.
 		end.FullEngine, end.SuspectedEngine = p.Decode.ID, p.Prefill.ID
 		*avoid = append(*avoid, p.Prefill.ID, p.Decode.ID)
-	case sent.NotRun && !sent.Gone:
+	case sent.NotRun && !sent.IncarnationReplaced:
 		end.FullEngine = p.Decode.ID
 	default:
 		end.FailedEngine = p.Decode.ID
@@ -324,7 +324,7 @@
 
 // sendPrefill sends the prompt to the prefill engine and counts the send against the retry budget where it is a retry.
 func (r *Relay) sendPrefill(
-	ctx context.Context, a *attempt, p turmericwall.Placement, out turmericwall.Outgoing,
+	ctx context.Context, a *attempt, p turmericwall.Placement, out turmericwall.OutgoingCall,
 ) (turmericwall.EngineExport, error) {
 	if err := r.checkAcceptsCalls(p.Prefill); err != nil {
 		return turmericwall.EngineExport{}, &turmericwall.SendError{Err: err}
@@ -335,7 +335,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*max(time.Until(p.PrefillEndsAt), 0)+prefillSlack)
 	defer cancel()
-	export, err := r.config.Upstreams.Prefill(ctx, p.Prefill, turmericwall.Outgoing{
+	export, err := r.config.Upstreams.Prefill(ctx, p.Prefill, turmericwall.OutgoingCall{
 		Call: a.call, Deadline: out.Deadline, Priority: out.Priority,
 	})
 	if err != nil && !a.prefilled {
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -36,7 +36,9 @@
 	s := newFixture(turmericwall.CallIdempotent)
 	s.placer.placements = places
 	s.placer.refusal = turmericwall.Refused(turmericwall.Refusal{Reason: "full", RetryAt: time.Now().Add(2 * time.Second)})
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(200, events(1, 3)), nil
 	}
 	return s
@@ -74,7 +76,9 @@
 	granted := 0
 	for range 40 {
 		s := newModelFixture(splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"))
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			return nil, notRunError()
 		}
 		_, _ = s.serve(context.Background(), "/m/x")
@@ -84,7 +88,9 @@
 	}
 	g.Expect(granted).To(Equal(40 * 6))
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, notRunError()
 	}
 	sends := 0
@@ -101,7 +107,9 @@
 func TestABrokenStreamIsNotEndedAsWhole(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return brokenAnswer(events(1, 2)+"id: 3\nda", io.ErrUnexpectedEOF), nil
 	}
 	w, err := s.serve(context.Background(), "/m/x")
@@ -135,7 +143,9 @@
 func TestAnEventGapOverTheLimitIsReportedBeforeTheStreamEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		body := &slowBody{parts: []string{events(1, 1), events(2, 2)}, pause: 330 * time.Millisecond}
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: http.Header{}, Body: body}, nil
 	}
@@ -156,7 +166,9 @@
 func TestTheSpeedOfAnAnswerIsReportedBeforeItEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		body := &slowBody{parts: []string{events(1, 4), events(5, 5)}, pause: 450 * time.Millisecond}
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: http.Header{}, Body: body}, nil
 	}
@@ -178,7 +190,9 @@
 func TestAStreamThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, &turmericwall.SendError{Sent: true, Err: errConnectionReset}
 	}
 	w, _ := s.serve(context.Background(), "/m/x")
@@ -239,7 +253,9 @@
 		first: strings.NewReader(events(1, 2)), rest: strings.NewReader(events(3, 3) + "id: 4\n"),
 		release: make(chan struct{}), end: io.EOF,
 	}
-	s.upstreams.send = func(_ context.Context, to turmericwall.Upstream, call turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		_ context.Context, to turmericwall.Upstream, call turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if to.ID == "d1" {
 			s.view.Put(2, leaving)
 			return &turmericwall.Answer{
@@ -274,7 +290,9 @@
 		first: strings.NewReader(events(1, 2)), rest: strings.NewReader(""),
 		release: make(chan struct{}), end: io.ErrUnexpectedEOF,
 	}
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: map[string][]string{}, Body: body}, nil
 	}
@@ -310,7 +328,9 @@
 	s := newModelFixture(splitPlacement("d1"))
 	leaving := engine("d1", turmericwall.RoleDecode)
 	leaving.Leaving = true
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return answer(200, events(1, 5)), nil
 	}
@@ -358,7 +378,9 @@
 		first: strings.NewReader(events(1, 2)), rest: strings.NewReader(events(3, 5)),
 		release: make(chan struct{}), end: io.EOF,
 	}
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: map[string][]string{}, Body: body}, nil
 	}
@@ -384,7 +406,9 @@
 	leaving := engine("d1", turmericwall.RoleDecode)
 	leaving.Leaving = true
 	reader, writer := io.Pipe()
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: map[string][]string{}, Body: reader}, nil
 	}
--- a/internal/delivery/twrelay/move.go
+++ b/internal/delivery/twrelay/move.go
@@ -81,7 +81,7 @@
 // moveRun places a run on another engine and copies its memory there. The send that resumes the run is taken from the
 // retry budget before the run is stopped, because a stopped run that can't be resumed loses its answer.
 func (r *Relay) moveRun(ctx context.Context, a *attempt, request moveRequest) moveResult {
-	if !r.config.Throttle.ClosedUntil(request.from.Key()).IsZero() {
+	if !r.config.Throttle.BackoffUntil(request.from.Key()).IsZero() {
 		return moveResult{err: errBackOff}
 	}
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
@@ -116,7 +116,7 @@
 	if err != nil {
 		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		var sent *turmericwall.SendError
-		return moveResult{stopped: !errors.As(err, &sent) || !sent.Safe(), err: err}
+		return moveResult{stopped: !errors.As(err, &sent) || !sent.IsSafeToResend(), err: err}
 	}
 	return moveResult{placement: placement, export: export, copied: copied}
 }
@@ -144,7 +144,7 @@
 	}
 	a.countedSends++
 	a.moves++
-	answer, err := r.config.Upstreams.Send(ctx, to, turmericwall.Outgoing{
+	answer, err := r.config.Upstreams.Send(ctx, to, turmericwall.OutgoingCall{
 		Call: a.call, Deadline: a.deadline, Step: turmericwall.StepImport, Export: result.export, ResumeAfter: s.lastEventID,
 	})
 	if err != nil {
--- a/internal/delivery/twrelay/plain.go
+++ b/internal/delivery/twrelay/plain.go
@@ -87,7 +87,7 @@
 		avoid[got.upstream.ID] = true
 		last = got.err
 		var sent *turmericwall.SendError
-		if !errors.As(got.err, &sent) || !sent.Safe() {
+		if !errors.As(got.err, &sent) || !sent.IsSafeToResend() {
 			return turmericwall.NewProblem(turmericwall.KindUpstreamFailed, "the upstream gave no answer",
 				"check whether the call took effect before retrying").WithOutcome(turmericwall.OutcomeUnknown).WithCause(got.err)
 		}
@@ -190,7 +190,7 @@
 			continue
 		}
 		if !r.spendSend(a) {
-			r.config.Throttle.Return(upstream.Key())
+			r.config.Throttle.ReturnSend(upstream.Key())
 			r.config.Picker.ReleasePick(upstream)
 			return upstream, false
 		}
@@ -219,7 +219,9 @@
 func (r *Relay) send(ctx context.Context, a *attempt, upstream turmericwall.Upstream) reply {
 	began := time.Now()
 	got := reply{upstream: upstream}
-	got.answer, got.err = r.config.Upstreams.Send(ctx, upstream, turmericwall.Outgoing{Call: a.call, Deadline: a.deadline})
+	got.answer, got.err = r.config.Upstreams.Send(
+		ctx, upstream, turmericwall.OutgoingCall{Call: a.call, Deadline: a.deadline},
+	)
 	if got.err == nil {
 		got.buffered, got.complete, got.err = bufferBody(got.answer)
 	}
@@ -237,7 +239,7 @@
 		r.config.Picker.RecordAnswer(now, got.upstream, got.duration, got.answer.Status < http.StatusInternalServerError)
 	case errors.Is(ctx.Err(), context.Canceled):
 		r.config.Picker.ReleasePick(got.upstream)
-	case errors.As(got.err, &sent) && sent.NotRun && !sent.Gone:
+	case errors.As(got.err, &sent) && sent.NotRun && !sent.IncarnationReplaced:
 		r.config.Picker.RecordAnswer(now, got.upstream, got.duration, false)
 	default:
 		r.config.Picker.RecordFailure(now, got.upstream, got.duration)
@@ -289,7 +291,7 @@
 // sendProblem converts the error of a failed send into the problem that the caller gets.
 func sendProblem(err error) error {
 	var sent *turmericwall.SendError
-	if errors.As(err, &sent) && sent.Safe() {
+	if errors.As(err, &sent) && sent.IsSafeToResend() {
 		return notRunProblem(err)
 	}
 	return turmericwall.NewProblem(turmericwall.KindUpstreamFailed, "the upstream gave no answer",
--- a/internal/delivery/twrelay/plain_test.go
+++ b/internal/delivery/twrelay/plain_test.go
@@ -15,7 +15,9 @@
 func TestAnAnswerIsPassedOnUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(200, "booked"), nil
 	}
 	w, err := s.serve(context.Background(), "/p/x")
@@ -31,7 +33,9 @@
 func TestANonIdempotentCallIsNeverSentAgainOnceItMayHaveRun(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, &turmericwall.SendError{Sent: true, Err: errConnectionReset}
 	}
 	w, _ := s.serve(context.Background(), "/p/x")
@@ -43,7 +47,9 @@
 func TestANonIdempotentCallIsSentAgainAfterARefusal(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if len(s.upstreams.sentTo()) == 1 {
 			return nil, notRunError()
 		}
@@ -60,7 +66,9 @@
 	for _, status := range []int{408, 421, 429, 503} {
 		g := NewWithT(t)
 		s := newFixture(turmericwall.CallNonIdempotent)
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			return answer(status, "no"), nil
 		}
 		w, _ := s.serve(context.Background(), "/p/x")
@@ -72,7 +80,9 @@
 func TestACallThatNoUpstreamRanIsRefusedWithARetryTime(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, notRunError()
 	}
 	w, _ := s.serve(context.Background(), "/p/x")
@@ -102,7 +112,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newFixture(turmericwall.CallIdempotent)
-			s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+			s.upstreams.send = func(
+				context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+			) (*turmericwall.Answer, error) {
 				if len(s.upstreams.sentTo()) == 1 {
 					return c.first()
 				}
@@ -121,7 +133,9 @@
 func TestAnIdempotentCallIsHedgedWhenItsUpstreamIsUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if len(s.upstreams.sentTo()) == 1 {
 			<-ctx.Done()
 			return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
@@ -138,7 +152,9 @@
 func TestAFailureIsPassedOnWhenNoUpstreamSucceeds(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(500, "broken"), nil
 	}
 	w, _ := s.serve(context.Background(), "/p/x")
@@ -151,7 +167,9 @@
 func TestTheRoutesTimeoutEndsACall(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		<-ctx.Done()
 		return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
 	}
@@ -166,7 +184,9 @@
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
 	ended := make(chan struct{}, 2)
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		<-ctx.Done()
 		ended <- struct{}{}
 		return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
@@ -183,7 +203,9 @@
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
 	long := make([]byte, 200_000)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return brokenAnswer(string(long), io.ErrUnexpectedEOF), nil
 	}
 	_, err := s.serve(context.Background(), "/p/x")
@@ -208,7 +230,9 @@
 func TestNoSecondSendBeyondTheBudget(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(500, "broken"), nil
 	}
 	const calls = 150
--- a/internal/delivery/twrelay/relay.go
+++ b/internal/delivery/twrelay/relay.go
@@ -39,7 +39,7 @@
 type Config struct {
 	Routes    *twroutes.Table
 	View      *twupstreams.View
-	Upstreams turmericwall.Upstreams
+	Upstreams turmericwall.UpstreamClient
 	Picker    *twpicker.Picker
 	Retries   *twretries.Budget
 	Placer    turmericwall.EnginePlacer
--- a/internal/delivery/twrelay/throttle_test.go
+++ b/internal/delivery/twrelay/throttle_test.go
@@ -25,7 +25,9 @@
 		s := newFixture(kind)
 		s.closeUpstream("a", time.Second)
 		s.closeUpstream("b", time.Second)
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			return answer(200, "ok"), nil
 		}
 		w, _ := s.serve(context.Background(), "/p/x")
@@ -72,7 +74,9 @@
 			g := NewWithT(t)
 			s := newFixture(c.kind)
 			s.closeUpstream("b", time.Second)
-			s.upstreams.send = func(ctx context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+			s.upstreams.send = func(
+				ctx context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
+			) (*turmericwall.Answer, error) {
 				if to.ID == "a" {
 					return c.first(ctx)
 				}
@@ -93,7 +97,9 @@
 	for s.retries.Spend(time.Now(), "plain", 1) {
 		continue
 	}
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, notRunError()
 	}
 	_, _ = s.serve(context.Background(), "/p/x")
@@ -128,7 +134,9 @@
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), turmericwall.Placement{Decode: engine("d2", turmericwall.RoleDecode)})
 	s.closeUpstream("d2", time.Second)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		leaving := engine("d1", turmericwall.RoleDecode)
 		leaving.Leaving = true
 		s.view.Put(5, leaving)
--- a/internal/edge/twedge/edge.go
+++ b/internal/edge/twedge/edge.go
@@ -158,7 +158,7 @@
 			return turmericwall.NewProblem(turmericwall.KindUnauthorized, "the key is missing or unknown",
 				"send Authorization: Bearer with the account's key")
 		}
-		daemons := len(e.config.Peers.Leaders())
+		daemons := len(e.config.Peers.EligibleLeaders())
 		if retryAt, ok := e.config.Limiter.Admit(e.config.Clock.Now(), account, daemons); !ok {
 			return turmericwall.NewProblem(turmericwall.KindOverLimit, "the account is over its rate limit",
 				"retry after the delay in Retry-After").WithRetryAt(retryAt)
--- a/internal/ledger/twledger/scan.go
+++ b/internal/ledger/twledger/scan.go
@@ -49,7 +49,7 @@
 
 // partitionOwner returns the incarnation that scans the partition, by rendezvous hashing over the live daemons.
 func (l *Ledger) partitionOwner(partition int) string {
-	leaders := l.config.Peers.Leaders()
+	leaders := l.config.Peers.EligibleLeaders()
 	if len(leaders) == 0 {
 		return ""
 	}
@@ -97,9 +97,9 @@
 		return true
 	case lease.Owner == l.config.Incarnation:
 		return !l.isRunning(lease.ID)
-	case l.config.Peers.Live(lease.Owner):
+	case l.config.Peers.IsLive(lease.Owner):
 		return false
-	case !l.config.Peers.Isolated():
+	case !l.config.Peers.IsPartitioned():
 		return true
 	}
 	return l.leaseUnchanged(lease.ID, version)
--- a/internal/membership/twexchange/calls.go
+++ b/internal/membership/twexchange/calls.go
@@ -12,9 +12,9 @@
 // placeTimeoutMargin is how long the leader's answer may take beyond the arrival's own deadline.
 const placeTimeoutMargin = 300 * time.Millisecond
 
-// Inquire returns how far the attempt's owner got with it, or AttemptUnknown with an error when the owner did not
+// QueryAttempt returns how far the attempt's owner got with it, or AttemptUnknown with an error when the owner did not
 // answer.
-func (e *Exchange) Inquire(ctx context.Context, owner, attempt string) (turmericwall.AttemptState, error) {
+func (e *Exchange) QueryAttempt(ctx context.Context, owner, attempt string) (turmericwall.AttemptState, error) {
 	state := turmericwall.AttemptUnknown
 	err := e.call(ctx, owner, callTimeout, func(ctx context.Context, peer twpeer.PeerClient) error {
 		reply, err := peer.Inquire(ctx, &twpeer.InquireRequest{Attempt: attempt})
@@ -24,8 +24,8 @@
 	return state, err
 }
 
-// Hold returns which of the attempts their owner still wants.
-func (e *Exchange) Hold(ctx context.Context, owner string, attempts []string) ([]string, error) {
+// WantedAttempts returns which of the attempts their owner still wants.
+func (e *Exchange) WantedAttempts(ctx context.Context, owner string, attempts []string) ([]string, error) {
 	var wanted []string
 	err := e.call(ctx, owner, callTimeout, func(ctx context.Context, peer twpeer.PeerClient) error {
 		reply, err := peer.Hold(ctx, &twpeer.HoldRequest{Attempts: attempts})
--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -123,22 +123,22 @@
 // Self returns this daemon's incarnation.
 func (e *Exchange) Self() string { return e.self }
 
-// Live reports whether the incarnation counts as live.
-func (e *Exchange) Live(incarnation string) bool {
+// IsLive reports whether the incarnation counts as live.
+func (e *Exchange) IsLive(incarnation string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.IsLive(e.clock.Now(), incarnation)
 }
 
-// Isolated reports whether fewer than half of the listed daemons are reachable. It is then more likely that this
+// IsPartitioned reports whether fewer than half of the listed daemons are reachable. It is then more likely that this
 // daemon is partitioned, and what the others hold must not count as orphaned.
-func (e *Exchange) Isolated() bool {
+func (e *Exchange) IsPartitioned() bool {
 	listed := len(e.fleet.Upstreams(twfleet.DaemonService))
 	return 2*len(e.Members()) < listed
 }
 
-// Leaders returns the live daemons that are not draining, in the order of their incarnations.
-func (e *Exchange) Leaders() []string {
+// EligibleLeaders returns the live daemons that are not draining, in the order of their incarnations.
+func (e *Exchange) EligibleLeaders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var leaders []string
--- a/internal/membership/twserver/server.go
+++ b/internal/membership/twserver/server.go
@@ -113,5 +113,5 @@
 
 // Hold returns which of the attempts this daemon still wants.
 func (s *Server) Hold(_ context.Context, request *twpeer.HoldRequest) (*twpeer.HoldReply, error) {
-	return &twpeer.HoldReply{Wanted: s.config.Holder.Wanted(request.GetAttempts())}, nil
+	return &twpeer.HoldReply{Wanted: s.config.Holder.FilterWanted(request.GetAttempts())}, nil
 }
--- a/internal/once/twclaim/claims.go
+++ b/internal/once/twclaim/claims.go
@@ -213,7 +213,7 @@
 	case turmericwall.AttemptRunning, turmericwall.AttemptDone:
 		return stillRunning(c.config.Clock.Now())
 	}
-	if own.call.Repeatable && !c.config.Peers.Live(existing.Owner) {
+	if own.call.Repeatable && !c.config.Peers.IsLive(existing.Owner) {
 		return nil
 	}
 	return outcomeUnknown(err)
@@ -223,7 +223,7 @@
 	if existing.Owner == c.config.Incarnation {
 		return c.config.Registry.State(existing.Attempt), nil
 	}
-	return c.config.Peers.Inquire(ctx, existing.Owner, existing.Attempt)
+	return c.config.Peers.QueryAttempt(ctx, existing.Owner, existing.Attempt)
 }
 
 func (c *Claims) write(ctx context.Context, held *claim) error {
--- a/internal/once/twclaim/claims_test.go
+++ b/internal/once/twclaim/claims_test.go
@@ -68,7 +68,7 @@
 	claims   *twclaim.Claims
 }
 
-func (c *cluster) Inquire(_ context.Context, owner, attempt string) (turmericwall.AttemptState, error) {
+func (c *cluster) QueryAttempt(_ context.Context, owner, attempt string) (turmericwall.AttemptState, error) {
 	d := c.daemons[owner]
 	if !d.alive {
 		return turmericwall.AttemptUnknown, errors.New("no answer")
@@ -76,9 +76,11 @@
 	return d.registry.State(attempt), nil
 }
 
-func (c *cluster) Live(incarnation string) bool { return c.daemons[incarnation].alive }
+func (c *cluster) IsLive(incarnation string) bool { return c.daemons[incarnation].alive }
 
-func (c *cluster) Hold(context.Context, string, []string) ([]string, error) { return nil, nil }
+func (c *cluster) WantedAttempts(context.Context, string, []string) ([]string, error) {
+	return nil, nil
+}
 
 func (c *cluster) Place(context.Context, string, turmericwall.Arrival) (turmericwall.Grant, error) {
 	return turmericwall.Grant{}, nil
@@ -86,9 +88,9 @@
 
 func (c *cluster) Finish(context.Context, string, []turmericwall.Ending) error { return nil }
 
-func (c *cluster) Isolated() bool { return false }
+func (c *cluster) IsPartitioned() bool { return false }
 
-func (c *cluster) Leaders() []string { return nil }
+func (c *cluster) EligibleLeaders() []string { return nil }
 
 func (c *cluster) Self() string { return "" }
 
--- a/internal/operations/twdaemon/build.go
+++ b/internal/operations/twdaemon/build.go
@@ -55,7 +55,8 @@
 	table := twtable.New(client)
 	d.buildMembership(client, table, incarnation, security)
 	d.committer = twgroup.New(twgroup.Config{
-		Table: table, Registry: d.registry, Recorder: d.recorder, Daemons: func() int { return len(d.exchange.Leaders()) },
+		Table: table, Registry: d.registry, Recorder: d.recorder,
+		Daemons: func() int { return len(d.exchange.EligibleLeaders()) },
 	})
 	registry := twattempt.New(incarnation)
 	d.buildDelivery(incarnation)
@@ -123,7 +124,9 @@
 // it still wants, but is constructed before it.
 type attemptHolder struct{ d *Daemon }
 
-func (h attemptHolder) Wanted(attempts []string) []string { return h.d.delivery.Wanted(attempts) }
+func (h attemptHolder) FilterWanted(attempts []string) []string {
+	return h.d.delivery.FilterWanted(attempts)
+}
 
 func (d *Daemon) buildClaims(table turmericwall.Table, incarnation string, registry *twattempt.Registry) {
 	d.claims = twclaim.New(twclaim.Config{
--- a/internal/placement/twbooks/callers.go
+++ b/internal/placement/twbooks/callers.go
@@ -69,7 +69,7 @@
 
 // recordCachedPrompts records the cached prompts that an engine reports. Callers that are known already are left
 // unchanged.
-func (c *callers) recordCachedPrompts(now time.Time, e *engine, prompts []turmericwall.KeptPrompt) {
+func (c *callers) recordCachedPrompts(now time.Time, e *engine, prompts []turmericwall.CachedPrompt) {
 	for _, p := range prompts {
 		if _, ok := c.bySubject[p.Subject]; ok {
 			continue
--- a/internal/placement/twbooks/kept.go
+++ b/internal/placement/twbooks/kept.go
@@ -65,7 +65,9 @@
 }
 
 // RecordCachedPrompts records the cached prompts that an engine reports. Reports of another incarnation are ignored.
-func (a *Books) RecordCachedPrompts(now time.Time, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
+func (a *Books) RecordCachedPrompts(
+	now time.Time, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt,
+) {
 	e, ok := a.engines[engine.ID]
 	if !ok || e.upstream.Key() != engine {
 		return
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twbooks/kept_test.go
@@ -94,7 +94,7 @@
 	g.Expect(prefilledElsewhere).To(BeNumerically(">=", 4))
 	at = at.Add(11 * time.Second)
 	a.RecordCachedPrompts(at, turmericwall.UpstreamKey{ID: "d00"},
-		[]turmericwall.KeptPrompt{{Subject: "later", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "later", Tokens: 4900}})
 	again := placeRequest("later", at, 5000, 2000)
 	a.Enqueue(at, again)
 	g.Expect(a.Decide(at).Placed[0].Prefill.ID).To(BeEmpty(), "the cache is used again after the interval")
@@ -106,9 +106,9 @@
 	g := NewWithT(t)
 	a := newAllocator(1, 4)
 	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "d02"},
-		[]turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "c0", Tokens: 4900}})
 	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "gone"},
-		[]turmericwall.KeptPrompt{{Subject: "c1", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "c1", Tokens: 4900}})
 	at := start.Add(200 * time.Millisecond)
 	a.Enqueue(at, retryOf(0, at))
 	a.Enqueue(at, retryOf(1, at))
@@ -126,7 +126,7 @@
 	g := NewWithT(t)
 	a := newAllocator(1, 1)
 	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "d00"},
-		[]turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "c0", Tokens: 4900}})
 	at := start
 	for i := range 12 {
 		call := placeRequest(fmt.Sprint("other", i), at, 8000, 1000)
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -95,7 +95,7 @@
 	case c.config.Keeping():
 		return c.config.Quotas.Charge(request.Account, request.Units)
 	default:
-		return c.config.Quotas.ChargeAlone(request.Account, request.Units)
+		return c.config.Quotas.ChargeLocally(request.Account, request.Units)
 	}
 }
 
@@ -170,7 +170,7 @@
 }
 
 // Keeps records the cached prompts that an engine reports.
-func (c *Coordinator) Keeps(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
+func (c *Coordinator) Keeps(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/placement/twinventory/inventory.go
+++ b/internal/placement/twinventory/inventory.go
@@ -20,9 +20,9 @@
 type Config struct {
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
-	Upstreams turmericwall.Upstreams
+	Upstreams turmericwall.UpstreamClient
 	// Keeps records the prompts that an engine has cached.
-	Keeps    func(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt)
+	Keeps    func(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt)
 	Recorder turmericwall.Recorder
 }
 
@@ -96,7 +96,7 @@
 func (i *Inventory) query(ctx context.Context, engine turmericwall.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	prompts, err := i.config.Upstreams.Kept(ctx, engine)
+	prompts, err := i.config.Upstreams.CachedPrompts(ctx, engine)
 	if err != nil {
 		i.config.Recorder.Record(turmericwall.EventEngineUnreachable).Str("upstream", engine.ID).Err(err).Send()
 		return
--- a/internal/placement/twinventory/inventory_test.go
+++ b/internal/placement/twinventory/inventory_test.go
@@ -18,10 +18,10 @@
 
 // engines have one cached prompt each, except for the unresponsive ones.
 type engines struct {
-	turmericwall.Upstreams
+	turmericwall.UpstreamClient
 	mu              sync.Mutex
 	unresponsive    map[string]bool
-	recordedPrompts map[string][]turmericwall.KeptPrompt
+	recordedPrompts map[string][]turmericwall.CachedPrompt
 	// active is the number of queries under way, maxActive the highest number so far.
 	active, maxActive int
 }
@@ -33,26 +33,26 @@
 	e.maxActive = max(e.maxActive, e.active)
 }
 
-func (e *engines) Kept(ctx context.Context, to turmericwall.Upstream) ([]turmericwall.KeptPrompt, error) {
+func (e *engines) CachedPrompts(ctx context.Context, to turmericwall.Upstream) ([]turmericwall.CachedPrompt, error) {
 	e.addActive(1)
 	defer e.addActive(-1)
 	if e.unresponsive[to.ID] {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
 	}
-	return []turmericwall.KeptPrompt{{Subject: "of " + to.ID, Tokens: 5000}}, nil
+	return []turmericwall.CachedPrompt{{Subject: "of " + to.ID, Tokens: 5000}}, nil
 }
 
-func (e *engines) record(_ string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
+func (e *engines) record(_ string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.recordedPrompts[engine.ID] = prompts
 }
 
-func (e *engines) recorded() map[string][]turmericwall.KeptPrompt {
+func (e *engines) recorded() map[string][]turmericwall.CachedPrompt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	recorded := make(map[string][]turmericwall.KeptPrompt)
+	recorded := make(map[string][]turmericwall.CachedPrompt)
 	for id, prompts := range e.recordedPrompts {
 		recorded[id] = prompts
 	}
@@ -65,7 +65,7 @@
 	g := NewWithT(t)
 	e := &engines{
 		unresponsive:    map[string]bool{"dark": true},
-		recordedPrompts: make(map[string][]turmericwall.KeptPrompt),
+		recordedPrompts: make(map[string][]turmericwall.CachedPrompt),
 	}
 	i := twinventory.New(twinventory.Config{
 		Services: func() []turmericwall.ServicePlan {
@@ -86,7 +86,7 @@
 	go func() { done <- i.Run(ctx) }()
 	g.Consistently(e.recorded, "50ms").Should(BeEmpty())
 	i.Want()
-	g.Eventually(e.recorded, "200ms").Should(Equal(map[string][]turmericwall.KeptPrompt{
+	g.Eventually(e.recorded, "200ms").Should(Equal(map[string][]turmericwall.CachedPrompt{
 		"a": {{Subject: "of a", Tokens: 5000}},
 	}))
 	time.Sleep(300 * time.Millisecond)
@@ -98,7 +98,7 @@
 // limited to a few thousand descriptors.
 func TestQueriesStayWithinTheConcurrencyLimit(t *testing.T) {
 	g := NewWithT(t)
-	e := &engines{recordedPrompts: make(map[string][]turmericwall.KeptPrompt)}
+	e := &engines{recordedPrompts: make(map[string][]turmericwall.CachedPrompt)}
 	i := twinventory.New(twinventory.Config{
 		Services: func() []turmericwall.ServicePlan {
 			return []turmericwall.ServicePlan{{Name: "s", Engine: &turmericwall.EnginePlan{}}}
--- a/internal/placement/twleader/poll.go
+++ b/internal/placement/twleader/poll.go
@@ -148,10 +148,10 @@
 	var err error
 	switch {
 	case owner == d.config.Peers.Self():
-		wantedAttempts = d.config.Holder.Wanted(attempts)
-	case d.config.Peers.Live(owner):
-		wantedAttempts, err = d.config.Peers.Hold(context.Background(), owner, attempts)
-	case d.config.Peers.Isolated():
+		wantedAttempts = d.config.Holder.FilterWanted(attempts)
+	case d.config.Peers.IsLive(owner):
+		wantedAttempts, err = d.config.Peers.WantedAttempts(context.Background(), owner, attempts)
+	case d.config.Peers.IsPartitioned():
 		return nil, false
 	}
 	if err != nil {
--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twordering/orders.go
@@ -23,7 +23,7 @@
 type Config struct {
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
-	Upstreams turmericwall.Upstreams
+	Upstreams turmericwall.UpstreamClient
 	// Fence returns the fencing token; ok is false while this daemon does not hold the lease and must not order.
 	Fence func() (int64, bool)
 	Need  func(service string) turmericwall.EngineDemand
@@ -129,7 +129,7 @@
 	if err != nil {
 		return false, err
 	}
-	if load.Changing || load.Role == change.Role {
+	if load.ChangingRole || load.Role == change.Role {
 		return false, nil
 	}
 	fence, ok := o.config.Fence()
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -18,7 +18,7 @@
 
 // engines accepts role orders and implements no other call.
 type engines struct {
-	turmericwall.Upstreams
+	turmericwall.UpstreamClient
 	orders      chan turmericwall.RoleOrder
 	roleChanges *twaway.Away
 	// orderErr is returned for each order.
--- a/internal/placement/twrouter/router.go
+++ b/internal/placement/twrouter/router.go
@@ -68,7 +68,7 @@
 	if r.localOnly {
 		return r.peers.Self()
 	}
-	leaders := r.usableLeaders(r.peers.Leaders())
+	leaders := r.usableLeaders(r.peers.EligibleLeaders())
 	if len(leaders) == 0 {
 		return r.peers.Self()
 	}
--- a/turmericwall.go
+++ b/turmericwall.go
@@ -79,8 +79,8 @@
 
 // AttemptHolder tracks for which attempts this daemon still needs engine memory.
 type AttemptHolder interface {
-	// Wanted returns those of the attempts that a request on this daemon still waits for.
-	Wanted(attempts []string) []string
+	// FilterWanted returns those of the attempts that a request on this daemon still waits for.
+	FilterWanted(attempts []string) []string
 }
 
 // Policy decides on placements as a deterministic state machine: equal events give equal actions. It has no clock,
@@ -118,22 +118,22 @@
 
 // Peers sends requests to the other daemons and tracks which of them are live.
 type Peers interface {
-	// Inquire queries how far the attempt got from the daemon that owns it.
-	Inquire(ctx context.Context, owner, attempt string) (AttemptState, error)
-	// Hold queries which of its attempts the daemon still needs engine memory for.
-	Hold(ctx context.Context, owner string, attempts []string) (wanted []string, err error)
+	// QueryAttempt queries how far the attempt got from the daemon that owns it.
+	QueryAttempt(ctx context.Context, owner, attempt string) (AttemptState, error)
+	// WantedAttempts queries which of its attempts the daemon still needs engine memory for.
+	WantedAttempts(ctx context.Context, owner string, attempts []string) (wanted []string, err error)
 	// Place requests a placement from the leader.
 	Place(ctx context.Context, leader string, arrival Arrival) (Grant, error)
 	// Finish reports to the leader how attempts ended.
 	Finish(ctx context.Context, leader string, endings []Ending) error
-	// Live reports whether this daemon counts the incarnation as live.
-	Live(incarnation string) bool
-	// Isolated reports whether fewer than half of the listed daemons are reachable, so that this daemon is probably the
-	// partitioned one.
-	Isolated() bool
-	// Leaders returns the incarnations of the live daemons that may lead services, sorted, this one included unless it
-	// is draining.
-	Leaders() []string
+	// IsLive reports whether this daemon counts the incarnation as live.
+	IsLive(incarnation string) bool
+	// IsPartitioned reports whether fewer than half of the listed daemons are reachable, so that this daemon is
+	// probably the partitioned one.
+	IsPartitioned() bool
+	// EligibleLeaders returns the incarnations of the live daemons that may lead services, sorted, this one included
+	// unless it is draining.
+	EligibleLeaders() []string
 	// Self returns this daemon's incarnation.
 	Self() string
 }
--- a/upstreams.go
+++ b/upstreams.go
@@ -12,14 +12,14 @@
 
 // The steps of a model call.
 const (
-	// StepWhole requests a local prefill and the answer.
-	StepWhole Step = ""
+	// StepLocalPrefill requests a local prefill and the answer.
+	StepLocalPrefill Step = ""
 	// StepImport requests the answer after the import of a prefill that another engine exported.
 	StepImport Step = "import"
 )
 
-// Outgoing is one send of a call to one upstream.
-type Outgoing struct {
+// OutgoingCall is one send of a call to one upstream.
+type OutgoingCall struct {
 	Call RoutedCall
 	// Deadline is when the upstream may stop working on the call.
 	Deadline time.Time
@@ -85,8 +85,8 @@
 // Key identifies the upstream's incarnation.
 func (r UpstreamRate) Key() UpstreamKey { return UpstreamKey{ID: r.ID, StartedMillis: r.StartedMillis} }
 
-// KeptPrompt is the part of a prompt that is in an engine's prompt cache.
-type KeptPrompt struct {
+// CachedPrompt is the part of a prompt that is in an engine's prompt cache.
+type CachedPrompt struct {
 	// Subject is the name of the part, as in ModelWork.
 	Subject string
 	Tokens  int
@@ -95,8 +95,8 @@
 // EngineLoad is a model engine's state as of some hundred milliseconds ago.
 type EngineLoad struct {
 	Role Role
-	// Changing is set while the engine carries out a role order.
-	Changing bool
+	// ChangingRole is set while the engine carries out a role order.
+	ChangingRole bool
 	// OrderCount is the number of role orders that the incarnation has accepted.
 	OrderCount int64
 	// Waiting and Running are numbers of calls.
@@ -120,13 +120,13 @@
 	OrderCount int64
 }
 
-// Upstreams is the client of all upstreams. It never resends anything: only its caller knows whether a call may run
-// twice.
-type Upstreams interface {
+// UpstreamClient is the client of all upstreams. It never resends anything: only its caller knows whether a call may
+// run twice.
+type UpstreamClient interface {
 	// Send sends one call and returns as soon as the head of the answer was received. The error is a *SendError.
-	Send(ctx context.Context, to Upstream, call Outgoing) (*Answer, error)
+	Send(ctx context.Context, to Upstream, call OutgoingCall) (*Answer, error)
 	// Prefill has an engine prefill the prompt and export the result. The error is a *SendError.
-	Prefill(ctx context.Context, to Upstream, call Outgoing) (EngineExport, error)
+	Prefill(ctx context.Context, to Upstream, call OutgoingCall) (EngineExport, error)
 	// DropExport frees an export that no engine will import.
 	DropExport(ctx context.Context, to Upstream, export EngineExport) error
 	// Reserve reserves a slot and memory for the number of tokens until the deadline; ok is false if the engine has
@@ -138,8 +138,8 @@
 	// If the copy fails, copied is false and the export can be imported by the engine from; the run has stopped there
 	// too.
 	MoveRun(ctx context.Context, from, to Upstream, callID string) (export EngineExport, copied bool, err error)
-	// Kept queries which prompts are in an engine's prompt cache.
-	Kept(ctx context.Context, to Upstream) ([]KeptPrompt, error)
+	// CachedPrompts queries which prompts are in an engine's prompt cache.
+	CachedPrompts(ctx context.Context, to Upstream) ([]CachedPrompt, error)
 	// Load queries an engine's state.
 	Load(ctx context.Context, to Upstream) (EngineLoad, error)
 	// ChangeRole sends a role order; accepted is false if the engine refused it.
@@ -150,10 +150,10 @@
 type UpstreamThrottle interface {
 	// Admit admits one send to the upstream. The error is a *Problem with a retry time.
 	Admit(ctx context.Context, upstream UpstreamKey) error
-	// Return returns an admitted send that was not made.
-	Return(upstream UpstreamKey)
-	// ClosedUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
-	ClosedUntil(upstream UpstreamKey) time.Time
+	// ReturnSend returns an admitted send that was not made.
+	ReturnSend(upstream UpstreamKey)
+	// BackoffUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
+	BackoffUntil(upstream UpstreamKey) time.Time
 }
 
 // SendError is the error of a failed send. It states how far the send got.
@@ -162,8 +162,9 @@
 	Sent bool
 	// NotRun is set if the upstream states that it did not run the call.
 	NotRun bool
-	// Gone is set if another incarnation answers at the address, so that the one that the call was for has terminated.
-	Gone bool
+	// IncarnationReplaced is set if another incarnation answers at the address, so that the one that the call was for
+	// has terminated.
+	IncarnationReplaced bool
 	// Status is the HTTP status of the upstream's refusal; 0 if there was no answer.
 	Status int
 	Err    error
@@ -175,5 +176,6 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Safe reports whether the call has certainly not run at this upstream, so that it may be sent to another one.
-func (e *SendError) Safe() bool { return !e.Sent || e.NotRun }
+// IsSafeToResend reports whether the call has certainly not run at this upstream, so that it may be sent to another
+// one.
+func (e *SendError) IsSafeToResend() bool { return !e.Sent || e.NotRun }
