--- a/decisions.go
+++ b/decisions.go
@@ -25,23 +25,23 @@
 	TokenGapMillis float64
 	PromptTokens   int
 	MaxTokens      int
-	// Blocks are the chained hashes of the prompt's blocks.
-	Blocks []uint64
+	// BlockHashes are the chained hashes of the prompt's blocks.
+	BlockHashes []uint64
 	// FirstTokenDeadline is the target time of the first token; zero means that the request is deferrable.
 	FirstTokenDeadline time.Time
 	// GiveUpDeadline limits the wait of a deferrable request; zero means no limit.
 	GiveUpDeadline time.Time
 	// Resumed is set for an attempt that continues a partial answer. Such attempts go first.
 	Resumed bool
-	// Prefilled is the engine that still holds the attempt's export, so that only a decode engine is requested; empty
-	// if there is none.
-	Prefilled string
+	// ExportEngine is the engine that still holds the attempt's export, so that only a decode engine is requested;
+	// empty if there is none.
+	ExportEngine string
 	// Avoid are the engines that failed this request.
 	Avoid []string
 }
 
-// Finished reports the end of an attempt.
-type Finished struct{ Ending Ending }
+// AttemptEnded reports the end of an attempt.
+type AttemptEnded struct{ Ending Ending }
 
 // Ending states how an attempt ended.
 type Ending struct {
@@ -51,20 +51,20 @@
 	FailedEngine string
 }
 
-// Reported carries an engine's load report.
-type Reported struct {
+// EngineReported carries an engine's load report.
+type EngineReported struct {
 	VM     VM
 	Report Report
 }
 
-// Cached carries an engine's prefix-cache events.
-type Cached struct {
+// CacheChanged carries an engine's prefix-cache events.
+type CacheChanged struct {
 	Engine string
 	Events CacheEvents
 }
 
-// Listed carries the current lists of the service's engines and of the links between data centres.
-type Listed struct {
+// EnginesListed carries the current lists of the service's engines and of the links between data centres.
+type EnginesListed struct {
 	VMs   []VM
 	Links []Link
 }
@@ -72,20 +72,20 @@
 // OwnerLost reports that a daemon's incarnation has terminated.
 type OwnerLost struct{ Incarnation string }
 
-// Withdrawn removes a waiting arrival.
-type Withdrawn struct{ Attempt string }
+// ArrivalWithdrawn removes a waiting arrival.
+type ArrivalWithdrawn struct{ Attempt string }
 
 // Tick reports that time has passed and carries nothing else.
 type Tick struct{}
 
-func (Arrival) isEvent()   {}
-func (Finished) isEvent()  {}
-func (Reported) isEvent()  {}
-func (Cached) isEvent()    {}
-func (Listed) isEvent()    {}
-func (OwnerLost) isEvent() {}
-func (Withdrawn) isEvent() {}
-func (Tick) isEvent()      {}
+func (Arrival) isEvent()          {}
+func (AttemptEnded) isEvent()     {}
+func (EngineReported) isEvent()   {}
+func (CacheChanged) isEvent()     {}
+func (EnginesListed) isEvent()    {}
+func (OwnerLost) isEvent()        {}
+func (ArrivalWithdrawn) isEvent() {}
+func (Tick) isEvent()             {}
 
 // Grant places one attempt on a prefill and a decode engine.
 type Grant struct {
@@ -96,12 +96,12 @@
 	ReservedUntil time.Time
 	// CachedTokens is the estimated number of prompt tokens in the prefill engine's cache.
 	CachedTokens int
-	// FirstToken is the expected time of the first token.
-	FirstToken time.Time
+	// FirstTokenAt is the expected time of the first token.
+	FirstTokenAt time.Time
 	// Reason states in a few words what decided the choice of engines.
 	Reason string
-	// Considered is the number of engines that were compared.
-	Considered int
+	// EnginesConsidered is the number of engines that were compared.
+	EnginesConsidered int
 }
 
 // Refusal refuses one attempt.
@@ -110,8 +110,8 @@
 	Reason  string
 	// RetryAt is when the backlog is expected to be short enough to accept the attempt.
 	RetryAt time.Time
-	// Never is set if the attempt exceeds every engine, so that a retry can't succeed.
-	Never bool
+	// Permanent is set if the attempt exceeds every engine, so that a retry can't succeed.
+	Permanent bool
 }
 
 // Sweep requests that the attempt be cancelled at the engine unless its owner still needs it. The caller of Step
--- a/internal/delivery/twdelivery/run.go
+++ b/internal/delivery/twdelivery/run.go
@@ -95,7 +95,7 @@
 	}
 	log.Record(turmericwall.EventPlacementGranted).Str("request", r.request.ID).Str("attempt", name).
 		Str("prefill", grant.Prefill.Name).Str("decode", grant.Decode.Name).Int("cachedTokens", int64(grant.CachedTokens)).
-		Int("considered", int64(grant.Considered)).Str("reason", grant.Reason).Send()
+		Int("considered", int64(grant.EnginesConsidered)).Str("reason", grant.Reason).Send()
 	return grant, nil
 }
 
@@ -107,11 +107,11 @@
 		TokenGapMillis: float64(r.request.Work.TokenGapMillis),
 		PromptTokens:   twblocks.Tokens(r.promptWithAnswer()),
 		MaxTokens:      r.remainingTokens(),
-		Blocks:         twblocks.Hashes(r.request.Prompt),
+		BlockHashes:    twblocks.Hashes(r.request.Prompt),
 		Avoid:          r.avoidedEngines,
 	}
 	if now.Before(r.exportDeadline) {
-		a.Prefilled = r.exportEngine.Name
+		a.ExportEngine = r.exportEngine.Name
 	}
 	switch {
 	case r.attempts > 0 && r.request.Work.Urgent:
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -35,7 +35,9 @@
 func newModelFixture(places ...turmericwall.Placement) *fixture {
 	s := newFixture(turmericwall.CallIdempotent)
 	s.placer.placements = places
-	s.placer.refusal = turmericwall.Refused(turmericwall.Refusal{Reason: "full", RetryAt: time.Now().Add(2 * time.Second)})
+	s.placer.refusal = turmericwall.NewRefusalProblem(
+		turmericwall.Refusal{Reason: "full", RetryAt: time.Now().Add(2 * time.Second)},
+	)
 	s.upstreams.send = func(
 		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
 	) (*turmericwall.Answer, error) {
@@ -402,7 +404,9 @@
 func TestARefusedMoveIsAskedForAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.placer.refusal = turmericwall.Refused(turmericwall.Refusal{Attempt: "id1/m1", Reason: "full", RetryAt: time.Now()})
+	s.placer.refusal = turmericwall.NewRefusalProblem(
+		turmericwall.Refusal{Attempt: "id1/m1", Reason: "full", RetryAt: time.Now()},
+	)
 	leaving := engine("d1", turmericwall.RoleDecode)
 	leaving.Leaving = true
 	reader, writer := io.Pipe()
--- a/internal/membership/twpeer/codec.go
+++ b/internal/membership/twpeer/codec.go
@@ -21,11 +21,11 @@
 		TokenGapMillis:   a.TokenGapMillis,
 		PromptTokens:     int32(a.PromptTokens),
 		MaxTokens:        int32(a.MaxTokens),
-		Blocks:           a.Blocks,
+		Blocks:           a.BlockHashes,
 		FirstTokenMicros: remaining(now, a.FirstTokenDeadline),
 		GiveUpMicros:     remaining(now, a.GiveUpDeadline),
 		Resumed:          a.Resumed,
-		Prefilled:        a.Prefilled,
+		Prefilled:        a.ExportEngine,
 		Avoid:            a.Avoid,
 	}
 }
@@ -43,11 +43,11 @@
 		TokenGapMillis:     m.GetTokenGapMillis(),
 		PromptTokens:       int(m.GetPromptTokens()),
 		MaxTokens:          int(m.GetMaxTokens()),
-		Blocks:             m.GetBlocks(),
+		BlockHashes:        m.GetBlocks(),
 		FirstTokenDeadline: deadline(now, m.GetFirstTokenMicros()),
 		GiveUpDeadline:     deadline(now, m.GetGiveUpMicros()),
 		Resumed:            m.GetResumed(),
-		Prefilled:          m.GetPrefilled(),
+		ExportEngine:       m.GetPrefilled(),
 		Avoid:              m.GetAvoid(),
 	}
 }
@@ -60,9 +60,9 @@
 		Decode:           encodeVM(g.Decode),
 		ReservedMicros:   remaining(now, g.ReservedUntil),
 		CachedTokens:     int32(g.CachedTokens),
-		FirstTokenMicros: remaining(now, g.FirstToken),
+		FirstTokenMicros: remaining(now, g.FirstTokenAt),
 		Reason:           g.Reason,
-		Considered:       int32(g.Considered),
+		Considered:       int32(g.EnginesConsidered),
 	}
 }
 
@@ -76,19 +76,19 @@
 // DecodeGrant returns the grant of a reply, or its refusal as a turmericwall.Problem.
 func DecodeGrant(now time.Time, attempt string, m *PlaceReply) (turmericwall.Grant, error) {
 	if !m.GetGranted() {
-		return turmericwall.Grant{}, turmericwall.Refused(turmericwall.Refusal{
-			Reason: m.GetReason(), RetryAt: deadline(now, m.GetRetryMicros()), Never: m.GetNever(),
+		return turmericwall.Grant{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{
+			Reason: m.GetReason(), RetryAt: deadline(now, m.GetRetryMicros()), Permanent: m.GetNever(),
 		})
 	}
 	return turmericwall.Grant{
-		Attempt:       attempt,
-		Prefill:       decodeVM(m.GetPrefill()),
-		Decode:        decodeVM(m.GetDecode()),
-		ReservedUntil: deadline(now, m.GetReservedMicros()),
-		CachedTokens:  int(m.GetCachedTokens()),
-		FirstToken:    deadline(now, m.GetFirstTokenMicros()),
-		Reason:        m.GetReason(),
-		Considered:    int(m.GetConsidered()),
+		Attempt:           attempt,
+		Prefill:           decodeVM(m.GetPrefill()),
+		Decode:            decodeVM(m.GetDecode()),
+		ReservedUntil:     deadline(now, m.GetReservedMicros()),
+		CachedTokens:      int(m.GetCachedTokens()),
+		FirstTokenAt:      deadline(now, m.GetFirstTokenMicros()),
+		Reason:            m.GetReason(),
+		EnginesConsidered: int(m.GetConsidered()),
 	}, nil
 }
 
--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -84,8 +84,8 @@
 			WithRetryAt(now.Add(time.Duration(reply.RetryMillis) * time.Millisecond))
 	}
 	if reply.Refused {
-		return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{
-			Attempt: ask.ID, Reason: reply.Reason, Never: reply.Never,
+		return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{
+			Attempt: ask.ID, Reason: reply.Reason, Permanent: reply.Never,
 			RetryAt: now.Add(time.Duration(reply.RetryMillis) * time.Millisecond),
 		})
 	}
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -63,7 +63,7 @@
 	address := serve(t, twpeerhttp.Config{
 		Keeps: func() bool { return true },
 		Place: func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error) {
-			return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{
+			return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{
 				Reason: "full", RetryAt: time.Now().Add(2 * time.Second),
 			})
 		},
--- a/internal/placement/twbaseline/baseline.go
+++ b/internal/placement/twbaseline/baseline.go
@@ -64,13 +64,13 @@
 	switch e := event.(type) {
 	case turmericwall.Arrival:
 		return []turmericwall.Action{b.place(now, e)}
-	case turmericwall.Finished:
+	case turmericwall.AttemptEnded:
 		b.finish(now, e.Ending)
-	case turmericwall.Reported:
+	case turmericwall.EngineReported:
 		b.applyReport(now, e)
-	case turmericwall.Cached:
+	case turmericwall.CacheChanged:
 		b.applyCacheEvents(e)
-	case turmericwall.Listed:
+	case turmericwall.EnginesListed:
 		b.updateEngines(e.VMs)
 	}
 	return nil
@@ -84,12 +84,12 @@
 	}
 	prefill.unreportedPlacements = append(prefill.unreportedPlacements, now)
 	decode.unreportedPlacements = append(decode.unreportedPlacements, now)
-	for _, block := range a.Blocks {
+	for _, block := range a.BlockHashes {
 		prefill.prefixCache.Add(block, struct{}{})
 	}
 	return turmericwall.Grant{
 		Attempt: a.Attempt, Prefill: prefill.vm, Decode: decode.vm,
-		Reason: b.rule, Considered: len(b.sortedEngines), ReservedUntil: now.Add(reportTimeout),
+		Reason: b.rule, EnginesConsidered: len(b.sortedEngines), ReservedUntil: now.Add(reportTimeout),
 	}
 }
 
@@ -108,7 +108,7 @@
 		b.roundRobinCount++
 		return usable[b.roundRobinCount%len(usable)]
 	case b.rule == PrefixAffinity && role == turmericwall.RolePrefill:
-		return mostCachedPrefix(usable, a.Blocks)
+		return mostCachedPrefix(usable, a.BlockHashes)
 	default:
 		return leastLoaded(usable)
 	}
@@ -183,7 +183,7 @@
 	}
 }
 
-func (b *Baseline) applyReport(now time.Time, event turmericwall.Reported) {
+func (b *Baseline) applyReport(now time.Time, event turmericwall.EngineReported) {
 	e, ok := b.engines[event.VM.Name]
 	if !ok {
 		return
@@ -196,17 +196,17 @@
 	})
 }
 
-func (b *Baseline) applyCacheEvents(event turmericwall.Cached) {
+func (b *Baseline) applyCacheEvents(event turmericwall.CacheChanged) {
 	e, ok := b.engines[event.Engine]
 	if !ok {
 		return
 	}
 	for _, c := range event.Events.Events {
 		if c.Removed {
-			e.prefixCache.Remove(c.Block)
+			e.prefixCache.Remove(c.BlockHash)
 			continue
 		}
-		e.prefixCache.Add(c.Block, struct{}{})
+		e.prefixCache.Add(c.BlockHash, struct{}{})
 	}
 }
 
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -349,7 +349,7 @@
 	if r == nil {
 		return nil
 	}
-	return turmericwall.Refused(turmericwall.Refusal{
-		Attempt: r.ID, Reason: r.Reason, RetryAt: r.RetryAt, Never: r.Permanent,
+	return turmericwall.NewRefusalProblem(turmericwall.Refusal{
+		Attempt: r.ID, Reason: r.Reason, RetryAt: r.RetryAt, Permanent: r.Permanent,
 	})
 }
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -152,7 +152,7 @@
 	g := NewWithT(t)
 	s := newFixture(t)
 	s.leader.place = func(context.Context) (turmericwall.Placement, error) {
-		return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{Reason: "full"})
+		return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{Reason: "full"})
 	}
 	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(turmericwall.IsKind(err, turmericwall.KindOverloaded)).To(BeTrue())
--- a/internal/placement/twleader/group.go
+++ b/internal/placement/twleader/group.go
@@ -98,14 +98,14 @@
 // withdraw removes an arrival whose caller has left. A grant made at the same time is released; its slot would
 // otherwise stay reserved until the reservation expires.
 func (d *decider) withdraw(attempt string, decision chan turmericwall.Action) {
-	d.step(turmericwall.Withdrawn{Attempt: attempt})
+	d.step(turmericwall.ArrivalWithdrawn{Attempt: attempt})
 	d.mu.Lock()
 	delete(d.pendingDecisions, attempt)
 	d.mu.Unlock()
 	select {
 	case action := <-decision:
 		if _, granted := action.(turmericwall.Grant); granted {
-			d.step(turmericwall.Finished{Ending: turmericwall.Ending{Service: d.service, Attempt: attempt}})
+			d.step(turmericwall.AttemptEnded{Ending: turmericwall.Ending{Service: d.service, Attempt: attempt}})
 		}
 	default:
 	}
@@ -116,7 +116,7 @@
 	case turmericwall.Grant:
 		return a, nil
 	case turmericwall.Refusal:
-		return turmericwall.Grant{}, turmericwall.Refused(a)
+		return turmericwall.Grant{}, turmericwall.NewRefusalProblem(a)
 	default:
 		return turmericwall.Grant{}, turmericwall.NewProblem(turmericwall.KindOverloaded, "no decision", "try again")
 	}
--- a/internal/placement/twleader/leader.go
+++ b/internal/placement/twleader/leader.go
@@ -62,7 +62,7 @@
 
 // Finish releases the attempt's reservation.
 func (l *Leader) Finish(ending turmericwall.Ending) {
-	l.deciderFor(ending.Service).step(turmericwall.Finished{Ending: ending})
+	l.deciderFor(ending.Service).step(turmericwall.AttemptEnded{Ending: ending})
 }
 
 // OwnerLost releases what the lost daemon reserved.
--- a/internal/placement/twleader/poll.go
+++ b/internal/placement/twleader/poll.go
@@ -13,7 +13,7 @@
 		return 0
 	}
 	vms := d.config.Fleet.Upstreams(d.service)
-	d.step(turmericwall.Listed{VMs: vms, Links: d.config.Links()})
+	d.step(turmericwall.EnginesListed{VMs: vms, Links: d.config.Links()})
 	started := 0
 	for _, vm := range vms {
 		p, ok := d.acquirePoll(vm.Name)
@@ -91,7 +91,7 @@
 		return
 	}
 	p.failed = false
-	d.step(turmericwall.Reported{VM: vm, Report: report})
+	d.step(turmericwall.EngineReported{VM: vm, Report: report})
 	if report.Role != turmericwall.RolePrefill {
 		return
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	p.lastSequence = events.Events[len(events.Events)-1].Sequence
-	d.step(turmericwall.Cached{Engine: vm.Name, Events: events})
+	d.step(turmericwall.CacheChanged{Engine: vm.Name, Events: events})
 }
 
 func (d *decider) recordFailure(ctx context.Context, vm turmericwall.VM, p *poll, err error) {
--- a/internal/placement/twscheduler/bench_test.go
+++ b/internal/placement/twscheduler/bench_test.go
@@ -15,7 +15,7 @@
 
 func benchScheduler(engines int) *twscheduler.Scheduler {
 	s := twscheduler.New(twscheduler.Config{BlockTokens: 64})
-	listed := turmericwall.Listed{}
+	listed := turmericwall.EnginesListed{}
 	for i := range engines {
 		listed.VMs = append(listed.VMs, turmericwall.VM{
 			Name: fmt.Sprintf("e%03d", i), Address: "a", State: turmericwall.VMLive,
@@ -27,7 +27,7 @@
 		if i%3 == 0 {
 			role = turmericwall.RolePrefill
 		}
-		s.Step(start, turmericwall.Reported{VM: v, Report: turmericwall.Report{
+		s.Step(start, turmericwall.EngineReported{VM: v, Report: turmericwall.Report{
 			Role: role, Models: []string{model}, Slots: benchSlots, Pieces: pieces * 10, PrefillRate: prefillRate,
 			StepMillis: stepMillis, StepPerSlotMillis: stepPerSlotMillis,
 		}})
@@ -49,9 +49,9 @@
 				now := start.Add(time.Duration(i%1000) * time.Millisecond)
 				s.Step(now, turmericwall.Arrival{
 					Attempt: "o:1/1", Model: model, Work: "w", Urgent: true, Worth: 1,
-					PromptTokens: 1000, MaxTokens: 50, Blocks: blocks, FirstTokenDeadline: now.Add(time.Hour),
+					PromptTokens: 1000, MaxTokens: 50, BlockHashes: blocks, FirstTokenDeadline: now.Add(time.Hour),
 				})
-				s.Step(now, turmericwall.Finished{Ending: turmericwall.Ending{Attempt: "o:1/1"}})
+				s.Step(now, turmericwall.AttemptEnded{Ending: turmericwall.Ending{Attempt: "o:1/1"}})
 			}
 		})
 	}
@@ -64,11 +64,11 @@
 		before := liveHeapBytes()
 		s := benchScheduler(engines)
 		for i := range engines {
-			var c turmericwall.Cached
+			var c turmericwall.CacheChanged
 			c.Engine = fmt.Sprintf("e%03d", i)
 			for block := range uint64(blocks) {
 				c.Events.Events = append(c.Events.Events, turmericwall.CacheEvent{
-					Sequence: block + 1, Block: block * 7919,
+					Sequence: block + 1, BlockHash: block * 7919,
 				})
 			}
 			s.Step(start, c)
--- a/internal/placement/twscheduler/dispatch.go
+++ b/internal/placement/twscheduler/dispatch.go
@@ -72,7 +72,9 @@
 		return true
 	case verdictTooLarge:
 		q.pop()
-		s.emit(turmericwall.Refusal{Attempt: a.Attempt, Reason: "no engine can hold prompt and answer", Never: true})
+		s.emit(
+			turmericwall.Refusal{Attempt: a.Attempt, Reason: "no engine can hold prompt and answer", Permanent: true},
+		)
 		return true
 	default:
 		return false
@@ -104,7 +106,7 @@
 	s.scanOffset++
 	decodeTime := p.decode.stepTime(p.decode.report.Slots) * time.Duration(a.MaxTokens)
 	p.prefill.queuePrefill(now, p.compute, a.Urgent)
-	p.prefill.addCachedBlocks(a.Blocks)
+	p.prefill.addCachedBlocks(a.BlockHashes)
 	s.zones.between(p.prefill, p.decode).reserveUntil(p.firstTokenAt)
 	reservedUntil := p.firstTokenAt.Add(reservationSlack)
 	s.allocate(p.decode, &allocation{
@@ -115,14 +117,14 @@
 		deferrable:    !a.Urgent,
 	})
 	s.emit(turmericwall.Grant{
-		Attempt:       a.Attempt,
-		Prefill:       p.prefill.vm,
-		Decode:        p.decode.vm,
-		ReservedUntil: reservedUntil,
-		CachedTokens:  p.cachedTokens,
-		FirstToken:    p.firstTokenAt,
-		Reason:        grantReason(p),
-		Considered:    p.considered,
+		Attempt:           a.Attempt,
+		Prefill:           p.prefill.vm,
+		Decode:            p.decode.vm,
+		ReservedUntil:     reservedUntil,
+		CachedTokens:      p.cachedTokens,
+		FirstTokenAt:      p.firstTokenAt,
+		Reason:            grantReason(p),
+		EnginesConsidered: p.considered,
 	})
 }
 
--- a/internal/placement/twscheduler/engine.go
+++ b/internal/placement/twscheduler/engine.go
@@ -252,9 +252,9 @@
 		}
 		e.lastSequence = c.Sequence
 		if c.Removed {
-			e.prefixCache.Remove(c.Block)
+			e.prefixCache.Remove(c.BlockHash)
 		} else {
-			e.prefixCache.Add(c.Block, struct{}{})
+			e.prefixCache.Add(c.BlockHash, struct{}{})
 		}
 	}
 }
--- a/internal/placement/twscheduler/place.go
+++ b/internal/placement/twscheduler/place.go
@@ -106,7 +106,7 @@
 // bestPrefill selects the prefill engine that finishes first. An engine with a cached prefix is therefore preferred
 // only while its queue costs less time than the prefix saves.
 func (s *Scheduler) bestPrefill(now time.Time, a turmericwall.Arrival) (pair, bool) {
-	if exporter, ok := s.engines[a.Prefilled]; ok {
+	if exporter, ok := s.engines[a.ExportEngine]; ok {
 		return pair{prefill: exporter, cachedTokens: a.PromptTokens, prefillEndAt: now, considered: 1}, true
 	}
 	var best pair
@@ -117,7 +117,7 @@
 			continue
 		}
 		best.considered++
-		cached := min(e.cachedTokens(now, a.Blocks, s.blockTokens), a.PromptTokens-1)
+		cached := min(e.cachedTokens(now, a.BlockHashes, s.blockTokens), a.PromptTokens-1)
 		compute := e.prefillTime(a.PromptTokens - cached)
 		end := max(0, e.busyUntil(a.Urgent).Sub(now)) + compute
 		if best.prefill == nil || end < bestEnd {
--- a/internal/placement/twscheduler/scheduler.go
+++ b/internal/placement/twscheduler/scheduler.go
@@ -82,20 +82,20 @@
 	switch e := event.(type) {
 	case turmericwall.Arrival:
 		s.enqueue(now, e)
-	case turmericwall.Finished:
+	case turmericwall.AttemptEnded:
 		s.finish(now, e.Ending)
-	case turmericwall.Reported:
+	case turmericwall.EngineReported:
 		s.applyReport(now, e)
-	case turmericwall.Cached:
+	case turmericwall.CacheChanged:
 		if known, ok := s.engines[e.Engine]; ok {
 			known.applyCacheEvents(now, e.Events)
 		}
-	case turmericwall.Listed:
+	case turmericwall.EnginesListed:
 		s.updateEngines(e.VMs)
 		s.updateLinks(e.Links)
 	case turmericwall.OwnerLost:
 		s.releaseOwner(now, e.Incarnation)
-	case turmericwall.Withdrawn:
+	case turmericwall.ArrivalWithdrawn:
 		s.removeQueued(e.Attempt)
 	case turmericwall.Tick:
 		s.tick(now)
@@ -239,7 +239,7 @@
 	s.zones.rebuild(s.sortedEngines, s.links)
 }
 
-func (s *Scheduler) applyReport(now time.Time, event turmericwall.Reported) {
+func (s *Scheduler) applyReport(now time.Time, event turmericwall.EngineReported) {
 	e, ok := s.engines[event.VM.Name]
 	takenAt := now.Add(-time.Duration(event.Report.AgeMillis) * time.Millisecond)
 	if !ok || takenAt.Before(e.reportTakenAt) {
--- a/internal/placement/twscheduler/session_test.go
+++ b/internal/placement/twscheduler/session_test.go
@@ -106,7 +106,7 @@
 	now := at(l.At)
 	switch {
 	case l.Listed != nil:
-		listed := turmericwall.Listed{Links: []turmericwall.Link{
+		listed := turmericwall.EnginesListed{Links: []turmericwall.Link{
 			{From: "near", To: "far", MegabytesPerSecond: 1000, Cost: 20},
 		}}
 		for _, v := range l.Listed {
@@ -124,17 +124,17 @@
 	case l.Reported != nil:
 		return l.Reported.event()
 	case l.Cached != nil:
-		c := turmericwall.Cached{Engine: l.Cached.VM}
+		c := turmericwall.CacheChanged{Engine: l.Cached.VM}
 		for i, b := range l.Cached.Blocks {
 			c.Events.Events = append(c.Events.Events, turmericwall.CacheEvent{
-				Sequence: l.Cached.From + uint64(i), Block: b,
+				Sequence: l.Cached.From + uint64(i), BlockHash: b,
 			})
 		}
 		return c
 	case l.Arrival != nil:
 		return l.Arrival.event(now)
 	case l.Finished != nil:
-		return turmericwall.Finished{Ending: turmericwall.Ending{
+		return turmericwall.AttemptEnded{Ending: turmericwall.Ending{
 			Attempt: l.Finished.Attempt, FailedEngine: l.Finished.Failed,
 		}}
 	case l.Lost != "":
@@ -145,7 +145,7 @@
 }
 
 func (r *report) event() turmericwall.Event {
-	return turmericwall.Reported{
+	return turmericwall.EngineReported{
 		VM: turmericwall.VM{Name: r.VM},
 		Report: turmericwall.Report{
 			Role: turmericwall.Role(r.Role), Models: []string{modelOrDefault(r.Model)}, AgeMillis: r.Age,
@@ -159,9 +159,9 @@
 func (a *arrival) event(now time.Time) turmericwall.Event {
 	return turmericwall.Arrival{
 		Attempt: a.Attempt, Model: modelOrDefault(a.Model), Work: a.Work, Urgent: a.Urgent, Worth: a.Worth,
-		PromptTokens: a.Prompt, MaxTokens: a.Max, Blocks: a.Blocks,
+		PromptTokens: a.Prompt, MaxTokens: a.Max, BlockHashes: a.Blocks,
 		FirstTokenDeadline: deadline(now, a.First), GiveUpDeadline: deadline(now, a.GiveUp),
-		Resumed: a.Resumed, Avoid: a.Avoid, Prefilled: a.Prefilled, TokenGapMillis: 54,
+		Resumed: a.Resumed, Avoid: a.Avoid, ExportEngine: a.Prefilled, TokenGapMillis: 54,
 	}
 }
 
@@ -208,7 +208,7 @@
 	switch a := action.(type) {
 	case turmericwall.Grant:
 		_, _ = fmt.Fprintf(out, "%d grant %s: %s to %s, cached %d, first token at %d, reserved until %d (%s)\n",
-			millis, a.Attempt, a.Prefill.Name, a.Decode.Name, a.CachedTokens, a.FirstToken.Sub(start).Milliseconds(),
+			millis, a.Attempt, a.Prefill.Name, a.Decode.Name, a.CachedTokens, a.FirstTokenAt.Sub(start).Milliseconds(),
 			a.ReservedUntil.Sub(start).Milliseconds(), a.Reason)
 	case turmericwall.Refusal:
 		_, _ = fmt.Fprintf(out, "%d refuse %s: %s, come back at %d\n",
--- a/messages.go
+++ b/messages.go
@@ -122,9 +122,9 @@
 // CacheEvent reports that a block was added to an engine's prefix cache or removed from it.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	// Block is the chained hash of the block.
-	Block   uint64 `json:"block"`
-	Removed bool   `json:"removed,omitempty"`
+	// BlockHash is the chained hash of the block.
+	BlockHash uint64 `json:"block"`
+	Removed   bool   `json:"removed,omitempty"`
 }
 
 // Request is one accepted request for a completion.
--- a/problem.go
+++ b/problem.go
@@ -58,9 +58,9 @@
 	return &Problem{kind: kind, detail: detail, remedy: remedy, outcome: OutcomeNotRun}
 }
 
-// Refused returns the problem of an attempt that a leader refused.
-func Refused(r Refusal) *Problem {
-	if r.Never {
+// NewRefusalProblem returns the problem of an attempt that a leader refused.
+func NewRefusalProblem(r Refusal) *Problem {
+	if r.Permanent {
 		return NewProblem(KindTooLarge, r.Reason, "shorten the prompt or ask for fewer tokens")
 	}
 	return NewProblem(KindOverloaded, r.Reason, "retry after the delay in Retry-After").WithRetryAt(r.RetryAt)
--- a/turmericwallstand/internal/twenginestand/prefill.go
+++ b/turmericwallstand/internal/twenginestand/prefill.go
@@ -83,11 +83,11 @@
 		}
 		if e.cache.Len() >= e.config.CacheBlocks {
 			if old, _, ok := e.cache.RemoveOldest(); ok {
-				e.publishCacheEvent(turmericwall.CacheEvent{Block: old, Removed: true})
+				e.publishCacheEvent(turmericwall.CacheEvent{BlockHash: old, Removed: true})
 			}
 		}
 		e.cache.Add(b, struct{}{})
-		e.publishCacheEvent(turmericwall.CacheEvent{Block: b})
+		e.publishCacheEvent(turmericwall.CacheEvent{BlockHash: b})
 	}
 }
 
