--- a/clients.go
+++ b/clients.go
@@ -20,20 +20,20 @@
 	Burst     float64 `json:"burst,omitempty"`
 	// CountsTokens is set if a call is charged by its tokens.
 	CountsTokens bool `json:"countsTokens,omitempty"`
-	// PlainTokens is the charge for a call that states no tokens.
-	PlainTokens int `json:"plainTokens,omitempty"`
+	// DefaultTokens is the charge for a call that states no tokens.
+	DefaultTokens int `json:"plainTokens,omitempty"`
 }
 
-// Limits reports whether the quota sets a limit.
-func (q Quota) Limits() bool { return q.PerSecond > 0 }
+// IsLimited reports whether the quota sets a limit.
+func (q Quota) IsLimited() bool { return q.PerSecond > 0 }
 
-// Units returns the charge for one call. A charge in tokens includes the largest length of the answer.
-func (q Quota) Units(work ModelWork) float64 {
+// UnitsFor returns the charge for one call. A charge in tokens includes the largest length of the answer.
+func (q Quota) UnitsFor(work ModelWork) float64 {
 	if !q.CountsTokens {
 		return 1
 	}
 	if work.PromptTokens == 0 && work.MaxTokens == 0 {
-		return float64(q.PlainTokens)
+		return float64(q.DefaultTokens)
 	}
 	return float64(work.PromptTokens) + float64(work.MaxTokens)
 }
@@ -52,8 +52,8 @@
 type AccountUse struct {
 	Account string `json:"account"`
 	Units   int64  `json:"units"`
-	// Alone are those of the units that the previous leader can't have counted.
-	Alone int64 `json:"alone,omitempty"`
+	// UncountedUnits are those of the units that the previous leader can't have counted.
+	UncountedUnits int64 `json:"alone,omitempty"`
 }
 
 // AccountLevel is the rest of an account's quota by the leader's count.
--- a/events.go
+++ b/events.go
@@ -55,7 +55,7 @@
 	EventRowUnreadable      EventID = 8003
 )
 
-var eventNames = map[EventID]string{
+var eventMessages = map[EventID]string{
 	EventStarted:            "Started",
 	EventReady:              "Ready",
 	EventDrainStarted:       "Drain started",
@@ -107,12 +107,12 @@
 }
 
 // String returns the event's message.
-func (e EventID) String() string { return eventNames[e] }
+func (e EventID) String() string { return eventMessages[e] }
 
-// EventIDs returns all event numbers with their messages. A test compares them with the catalogue.
-func EventIDs() map[EventID]string {
-	all := make(map[EventID]string, len(eventNames))
-	for id, name := range eventNames {
+// EventMessages returns all event numbers with their messages. A test compares them with the catalogue.
+func EventMessages() map[EventID]string {
+	all := make(map[EventID]string, len(eventMessages))
+	for id, name := range eventMessages {
 		all[id] = name
 	}
 	return all
--- a/feeds.go
+++ b/feeds.go
@@ -15,7 +15,7 @@
 	Key     string
 	Value   []byte
 	Version int64
-	Dropped bool
+	Removed bool
 }
 
 // Snapshot is the result of one read of a table.
@@ -36,10 +36,12 @@
 
 // RowWriter writes single rows conditionally.
 type RowWriter interface {
-	// Swap writes the row if it has the version ifVersion; 0 means that the row must not exist. If ok is false, current
-	// is the row in the store, with version 0 if there is none. After an error the write may have taken effect, or may
-	// still do so.
-	Swap(ctx context.Context, table, key string, ifVersion int64, value []byte) (version int64, current FeedRow, ok bool, err error)
+	// CompareAndSwap writes the row if it has the version ifVersion; 0 means that the row must not exist. If ok is
+	// false, current is the row in the store, with version 0 if there is none. After an error the write may have taken
+	// effect, or may still do so.
+	CompareAndSwap(
+		ctx context.Context, table, key string, ifVersion int64, value []byte,
+	) (version int64, current FeedRow, ok bool, err error)
 }
 
 // Decoder decodes rows that the operator and the upstreams wrote in the platform's format.
--- a/internal/admission/twquota/alone.go
+++ b/internal/admission/twquota/alone.go
@@ -7,7 +7,7 @@
 // a *Problem with a retry time.
 func (m *Meter) ChargeLocally(account string, units float64) error {
 	found, ok := m.config.Account(account)
-	if !ok || !found.Quota.Limits() || units <= 0 {
+	if !ok || !found.Quota.IsLimited() || units <= 0 {
 		return nil
 	}
 	s := m.readState()
--- a/internal/admission/twquota/bound_test.go
+++ b/internal/admission/twquota/bound_test.go
@@ -172,7 +172,7 @@
 ) outcome {
 	random := rand.New(rand.NewPCG(seed, 7))
 	f := newTolerantFleet(daemons,
-		turmericwall.Quota{PerSecond: rate, Burst: rate, CountsTokens: true, PlainTokens: 200}, overage, slackUnits)
+		turmericwall.Quota{PerSecond: rate, Burst: rate, CountsTokens: true, DefaultTokens: 200}, overage, slackUnits)
 	const ticks = 30 * ticksPerSecond
 	o := outcome{hot: make(unitsPerTick, ticks), calm: make(unitsPerTick, ticks)}
 	// sendCalls sends one model call, or plain calls of about a third of its units, and returns their units.
--- a/internal/admission/twquota/meter.go
+++ b/internal/admission/twquota/meter.go
@@ -129,7 +129,7 @@
 // Charge charges units to the account's quota. The error is a *Problem with a retry time.
 func (m *Meter) Charge(account string, units float64) error {
 	found, ok := m.config.Account(account)
-	if !ok || !found.Quota.Limits() || units <= 0 {
+	if !ok || !found.Quota.IsLimited() || units <= 0 {
 		return nil
 	}
 	s := m.readState()
@@ -149,7 +149,7 @@
 // Refund returns units that were charged for a call that did not run.
 func (m *Meter) Refund(account string, units float64) {
 	found, ok := m.config.Account(account)
-	if !ok || !found.Quota.Limits() || units <= 0 {
+	if !ok || !found.Quota.IsLimited() || units <= 0 {
 		return
 	}
 	s := m.readState()
@@ -290,7 +290,7 @@
 	for name, u := range m.used {
 		if now.Sub(u.lastUsedAt) < reportRetention {
 			list = append(list, turmericwall.AccountUse{
-				Account: name, Units: int64(u.units), Alone: int64(u.units - u.countedBefore),
+				Account: name, Units: int64(u.units), UncountedUnits: int64(u.units - u.countedBefore),
 			})
 		}
 	}
@@ -316,12 +316,12 @@
 	}
 	for _, u := range uses {
 		account, ok := m.config.Account(u.Account)
-		if !ok || !account.Quota.Limits() {
+		if !ok || !account.Quota.IsLimited() {
 			continue
 		}
 		recent := u.Units - previous[u.Account]
 		if !known && uptime >= maxNewDaemonAge {
-			recent = u.Alone
+			recent = u.UncountedUnits
 		}
 		m.clusterBucket(s, account).recordReport(s.now, float64(recent))
 		previous[u.Account] = u.Units
@@ -345,7 +345,7 @@
 	var list []turmericwall.AccountLevel
 	for name := range m.clusterBuckets {
 		account, ok := m.config.Account(name)
-		if !ok || !account.Quota.Limits() {
+		if !ok || !account.Quota.IsLimited() {
 			delete(m.clusterBuckets, name)
 			continue
 		}
--- a/internal/admission/twquota/meter_test.go
+++ b/internal/admission/twquota/meter_test.go
@@ -129,7 +129,7 @@
 	return admitted
 }
 
-var quota = turmericwall.Quota{PerSecond: 1000, Burst: 2000, CountsTokens: true, PlainTokens: 200}
+var quota = turmericwall.Quota{PerSecond: 1000, Burst: 2000, CountsTokens: true, DefaultTokens: 200}
 
 // Guards against a leader that admits more than the burst and the rate allow, or charges one account for another.
 func TestLeaderAdmitsExactlyTheQuota(t *testing.T) {
--- a/internal/admission/twquota/model_test.go
+++ b/internal/admission/twquota/model_test.go
@@ -22,7 +22,7 @@
 	unitsPerCall = 100.0
 )
 
-var modelQuota = turmericwall.Quota{PerSecond: 1000, Burst: 1000, CountsTokens: true, PlainTokens: 100}
+var modelQuota = turmericwall.Quota{PerSecond: 1000, Burst: 1000, CountsTokens: true, DefaultTokens: 100}
 
 // step is an event that may happen before the calls of a step.
 type step int
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -228,7 +228,7 @@
 		a.grantedUntil = now.Add(grantValidity)
 		return nil
 	}
-	a.nextRequestAt = earlier(now.Add(time.Duration(reply.NextMillis)*time.Millisecond), now.Add(maxRetryDelay))
+	a.nextRequestAt = earlier(now.Add(time.Duration(reply.NextRequestMillis)*time.Millisecond), now.Add(maxRetryDelay))
 	return a.refuse(now, upstream, now.Add(time.Duration(reply.RetryMillis)*time.Millisecond))
 }
 
@@ -297,7 +297,8 @@
 	}
 	next := later(b.nextCallAt(now, rate*live), now.Add(time.Duration(cluster.daemons)*requestPausePerDaemon))
 	return turmericwall.AdmitReply{
-		NextMillis: ceilMillis(next.Sub(now)), RetryMillis: ceilMillis(b.assignRetryTime(now, rate*live).Sub(now)),
+		NextRequestMillis: ceilMillis(next.Sub(now)),
+		RetryMillis:       ceilMillis(b.assignRetryTime(now, rate*live).Sub(now)),
 	}
 }
 
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -65,7 +65,7 @@
 func TestNoRequestBeforeTheTimeThatTheLeaderGave(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-	p := &fakePeers{reply: turmericwall.AdmitReply{NextMillis: 500, RetryMillis: 900}}
+	p := &fakePeers{reply: turmericwall.AdmitReply{NextRequestMillis: 500, RetryMillis: 900}}
 	throttle := newFollower(&now, p, twbackoff.New())
 	for range 5 {
 		var problem *turmericwall.Problem
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -236,7 +236,7 @@
 			},
 			{
 				Name: "model", Host: "h", Prefix: "/m/", Kind: turmericwall.CallStream, MaxUpstreams: 1, TimeoutMillis: 2000,
-				TargetMillis: 1000, Model: true, EventGapMillis: 300,
+				TargetMillis: 1000, ForModelEngine: true, EventGapMillis: 300,
 				Services: []turmericwall.WeightedService{{Service: "engines", Weight: 1}},
 			},
 			{
--- a/internal/delivery/twrelay/relay.go
+++ b/internal/delivery/twrelay/relay.go
@@ -202,8 +202,8 @@
 	}
 	a.credential = credential
 	a.call.Account = credential.Account.Name
-	if quota := credential.Account.Quota; quota.Limits() {
-		a.quotaUnits = quota.Units(a.call.Work)
+	if quota := credential.Account.Quota; quota.IsLimited() {
+		a.quotaUnits = quota.UnitsFor(a.call.Work)
 	}
 	if priority := credential.Account.Priority; priority != nil {
 		a.route.Priority = *priority
--- a/internal/membership/twcluster/cluster.go
+++ b/internal/membership/twcluster/cluster.go
@@ -166,11 +166,11 @@
 		c.config.Outranked()
 	}
 	if heartbeat.PlanVersion <= self.PlanVersion {
-		c.config.Proof.ConfirmEcho(twboottime.Now(), heartbeat.Echo, heartbeat.ProofMillis)
+		c.config.Proof.ConfirmEcho(twboottime.Now(), heartbeat.Echo, heartbeat.ProofAgeMillis)
 	}
 	behind := heartbeat.PlanVersion > self.PlanVersion || heartbeat.UpstreamsPosition > self.UpstreamsPosition
 	if !behind {
-		c.recordPeerFreshAt(c.lastHeartbeatAt.Add(-time.Duration(heartbeat.StoreMillis) * time.Millisecond))
+		c.recordPeerFreshAt(c.lastHeartbeatAt.Add(-time.Duration(heartbeat.StateAgeMillis) * time.Millisecond))
 	}
 	if behind || (c.isStandby() && heartbeat.MembersVersion != c.copiedVersion) {
 		c.requestFetch(heartbeat.Leader)
@@ -202,7 +202,7 @@
 	leaderLive := c.LeaderHeard()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	age := time.Since(c.lastHeartbeatAt) + time.Duration(c.heartbeat.StoreMillis)*time.Millisecond
+	age := time.Since(c.lastHeartbeatAt) + time.Duration(c.heartbeat.StateAgeMillis)*time.Millisecond
 	informed := leaderLive && age < c.config.Staleness
 	if informed != c.wasFresh {
 		c.wasFresh = informed
@@ -212,7 +212,7 @@
 		}
 		c.config.Recorder.Record(event).Str("leader", c.heartbeat.Leader.Name).Int("term", c.heartbeat.Term).
 			Int("heardMillis", time.Since(c.lastHeartbeatAt).Milliseconds()).
-			Int("storeMillis", c.heartbeat.StoreMillis).Send()
+			Int("storeMillis", c.heartbeat.StateAgeMillis).Send()
 	}
 	return informed
 }
@@ -222,12 +222,13 @@
 func (c *Cluster) Self() turmericwall.HeartbeatReply {
 	now := twboottime.Now()
 	reply := turmericwall.HeartbeatReply{
-		Member: c.config.Self, UpMillis: time.Since(c.startedAt).Milliseconds(), LinkMegabits: c.config.LinkMegabits,
-		Zone: c.config.Zone, Stopping: c.config.Stopping != nil && c.config.Stopping(),
-		ReadMillis: -1, ProofMillis: c.config.Proof.AgeMillis(now), Moment: int64(now),
+		Member: c.config.Self, UptimeMillis: time.Since(c.startedAt).Milliseconds(),
+		LinkMegabits: c.config.LinkMegabits,
+		Zone:         c.config.Zone, Stopping: c.config.Stopping != nil && c.config.Stopping(),
+		StoreReadAgeMillis: -1, ProofAgeMillis: c.config.Proof.AgeMillis(now), BootTimeNanos: int64(now),
 	}
 	if at := c.config.ReadAt(); !at.IsZero() {
-		reply.ReadMillis = time.Since(at).Milliseconds()
+		reply.StoreReadAgeMillis = time.Since(at).Milliseconds()
 	}
 	if c.config.Uses != nil {
 		reply.Uses = c.config.Uses()
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -78,7 +78,7 @@
 	return turmericwall.Snapshot{}, errors.New("not used")
 }
 
-func (s *store) Swap(
+func (s *store) CompareAndSwap(
 	_ context.Context, table, key string, ifVersion int64, value []byte,
 ) (int64, turmericwall.FeedRow, bool, error) {
 	s.mu.Lock()
--- a/internal/membership/twcluster/heartbeats.go
+++ b/internal/membership/twcluster/heartbeats.go
@@ -14,7 +14,8 @@
 	// The ages are read before the state itself; see Self.
 	heartbeat := turmericwall.Heartbeat{
 		Leader: c.config.Self, Term: term, Daemons: c.Daemons(), LeaseVersion: c.config.LeaseVersion(),
-		StoreMillis: time.Since(c.FreshAt()).Milliseconds(), ProofMillis: c.config.Proof.AgeMillis(twboottime.Now()),
+		StateAgeMillis: time.Since(c.FreshAt()).Milliseconds(),
+		ProofAgeMillis: c.config.Proof.AgeMillis(twboottime.Now()),
 	}
 	heartbeat.PlanVersion, heartbeat.UpstreamsPosition = c.config.PlanVersion(), c.config.UpstreamsPosition()
 	if c.config.Changing != nil {
@@ -54,7 +55,7 @@
 			continue
 		}
 		m.pending = true
-		heartbeat.Echo = turmericwall.Echo{Incarnation: m.Incarnation, Moment: m.Moment}
+		heartbeat.Echo = turmericwall.Echo{Incarnation: m.Incarnation, BootTimeNanos: m.BootTimeNanos}
 		go c.sendHeartbeat(ctx, address, heartbeat)
 	}
 }
@@ -83,7 +84,7 @@
 	sentAt, sentAtBootTime := time.Now(), twboottime.Now()
 	reply, err := c.config.Peers.Heartbeat(ctx, address, heartbeat)
 	if err == nil && c.config.TakeUses != nil {
-		c.config.TakeUses(reply.Incarnation, time.Duration(reply.UpMillis)*time.Millisecond, reply.Uses)
+		c.config.TakeUses(reply.Incarnation, time.Duration(reply.UptimeMillis)*time.Millisecond, reply.Uses)
 	}
 	if err == nil && c.config.TakeRates != nil {
 		c.config.TakeRates(reply.Rates)
@@ -103,7 +104,7 @@
 	}
 	c.recordReply(m, reply)
 	if reply.PlanVersion <= c.config.PlanVersion() {
-		c.config.Proof.ConfirmAged(sentAtBootTime, reply.ProofMillis)
+		c.config.Proof.ConfirmAged(sentAtBootTime, reply.ProofAgeMillis)
 	}
 	c.syncFromReply(sentAt, reply)
 }
@@ -119,7 +120,7 @@
 	}
 	if m.Incarnation != reply.Incarnation {
 		m.nominations = 0
-		m.startedAt = time.Now().Add(-time.Duration(reply.UpMillis) * time.Millisecond)
+		m.startedAt = time.Now().Add(-time.Duration(reply.UptimeMillis) * time.Millisecond)
 	}
 	m.HeartbeatReply = reply
 	m.live = true
@@ -129,10 +130,10 @@
 // syncFromReply obtains newer state from a daemon that has read the store later than this leader, which may be
 // partitioned from the store; the lock is held.
 func (c *Cluster) syncFromReply(sentAt time.Time, reply turmericwall.HeartbeatReply) {
-	if reply.ReadMillis < 0 {
+	if reply.StoreReadAgeMillis < 0 {
 		return
 	}
-	at := sentAt.Add(-time.Duration(reply.ReadMillis) * time.Millisecond)
+	at := sentAt.Add(-time.Duration(reply.StoreReadAgeMillis) * time.Millisecond)
 	own := c.config.ReadAt()
 	if c.peerFreshAt.After(own) {
 		own = c.peerFreshAt
--- a/internal/membership/twcluster/proof_test.go
+++ b/internal/membership/twcluster/proof_test.go
@@ -47,8 +47,8 @@
 	b := start(t, s, n, "b")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 	heartbeat := turmericwall.Heartbeat{
-		Leader: turmericwall.Member{Name: "z", Address: "z", Incarnation: "z1"}, Term: 99, ProofMillis: 0,
-		Echo: turmericwall.Echo{Incarnation: "b1", Moment: int64(twboottime.Now())},
+		Leader: turmericwall.Member{Name: "z", Address: "z", Incarnation: "z1"}, Term: 99, ProofAgeMillis: 0,
+		Echo: turmericwall.Echo{Incarnation: "b1", BootTimeNanos: int64(twboottime.Now())},
 	}
 	heartbeat.PlanVersion = 1
 	b.cluster.Heard(heartbeat)
@@ -78,7 +78,7 @@
 			},
 		})
 	}
-	g.Expect(newReadingCluster().Self().ProofMillis).To(BeEquivalentTo(-1), "the read ended after the age was taken")
+	g.Expect(newReadingCluster().Self().ProofAgeMillis).To(BeEquivalentTo(-1), "the read ended after the age was taken")
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	leader := newReadingCluster()
@@ -87,7 +87,7 @@
 	leader.Join(turmericwall.Member{Address: "b"})
 	var first turmericwall.Heartbeat
 	g.Eventually(sent, "3s").Should(Receive(&first))
-	g.Expect(first.ProofMillis).To(BeEquivalentTo(-1))
+	g.Expect(first.ProofAgeMillis).To(BeEquivalentTo(-1))
 }
 
 // recording is a peer client that passes on the heartbeats that are sent and fails every call.
--- a/internal/membership/twcluster/standbys.go
+++ b/internal/membership/twcluster/standbys.go
@@ -142,5 +142,5 @@
 
 // isFresh reports whether the member itself reads the store and sent its last answered read within staleness.
 func (m *member) isFresh(staleness time.Duration) bool {
-	return m.ReadMillis >= 0 && time.Duration(m.ReadMillis)*time.Millisecond < staleness
+	return m.StoreReadAgeMillis >= 0 && time.Duration(m.StoreReadAgeMillis)*time.Millisecond < staleness
 }
--- a/internal/membership/twelection/election.go
+++ b/internal/membership/twelection/election.go
@@ -191,7 +191,7 @@
 	if !ok {
 		return
 	}
-	_, _, _, err := e.config.Store.Swap(ctx, table, key, write.IfVersion, write.Value)
+	_, _, _, err := e.config.Store.CompareAndSwap(ctx, table, key, write.IfVersion, write.Value)
 	e.config.Recorder.Record(turmericwall.EventLeaderChanged).
 		Str("leader", "").Int("version", write.IfVersion).Err(err).Send()
 }
@@ -225,7 +225,7 @@
 	if !due {
 		return
 	}
-	version, current, ok, err := e.config.Store.Swap(ctx, table, key, write.IfVersion, write.Value)
+	version, current, ok, err := e.config.Store.CompareAndSwap(ctx, table, key, write.IfVersion, write.Value)
 	if err != nil {
 		e.config.Recorder.Record(turmericwall.EventLeaseUnreadable).Int("version", write.IfVersion).Err(err).Send()
 		return
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -50,7 +50,7 @@
 		server := twpeerhttp.NewServer(twpeerhttp.Config{
 			Heard: func(h turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 				now := twboottime.Now()
-				proof.ConfirmEcho(now, h.Echo, h.ProofMillis)
+				proof.ConfirmEcho(now, h.Echo, h.ProofAgeMillis)
 				if age := proof.AgeMillis(now); age < -1 {
 					t.Fatalf("the proof has an age of %d ms", age)
 				}
@@ -61,7 +61,9 @@
 			State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
 				if ask.Joining != nil {
 					quotas.Report(
-						ask.Joining.Incarnation, time.Duration(ask.Joining.UpMillis)*time.Millisecond, ask.Joining.Uses)
+						ask.Joining.Incarnation, time.Duration(
+							ask.Joining.UptimeMillis,
+						)*time.Millisecond, ask.Joining.Uses)
 				}
 				return turmericwall.SharedState{}
 			},
@@ -71,7 +73,7 @@
 			},
 			Admit: func(ask turmericwall.AdmitRequest) turmericwall.AdmitReply {
 				reply := throttle.Grant(ask)
-				if reply.Granted > max(ask.Count, 0) || reply.NextMillis < 0 || reply.RetryMillis < 0 {
+				if reply.Granted > max(ask.Count, 0) || reply.NextRequestMillis < 0 || reply.RetryMillis < 0 {
 					t.Fatalf("request %+v was answered by %+v", ask, reply)
 				}
 				return reply
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -88,7 +88,7 @@
 	var ended []turmericwall.PlacementUpdate
 	var adopted []turmericwall.PlacedCall
 	me := turmericwall.HeartbeatReply{
-		Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UpMillis: 7,
+		Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UptimeMillis: 7,
 	}
 	state := turmericwall.SharedState{
 		Plan: &turmericwall.RoutePlan{Version: 4}, Upstreams: []turmericwall.Upstream{{ID: "u"}}, UpstreamsPosition: 9,
@@ -97,7 +97,7 @@
 		Heard: func(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 			g.Expect(heartbeat.Term).To(BeEquivalentTo(3))
 			g.Expect(heartbeat.Changing).
-				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}}))
+				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, RemainingMillis: 70}}))
 			return me
 		},
 		State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
@@ -121,7 +121,8 @@
 		[]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Request.ID},
 	).To(Equal([]any{"d", int64(-40), "1/0"}))
 	got, err := c.Heartbeat(ctx, address, turmericwall.Heartbeat{
-		Term: 3, Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}},
+		Term:     3,
+		Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, RemainingMillis: 70}},
 	})
 	g.Expect([]any{got, err}).To(Equal([]any{me, nil}))
 	received, err := c.FetchState(ctx, address, turmericwall.StateRequest{UpstreamsPosition: 8})
--- a/internal/membership/twplanfeed/follower.go
+++ b/internal/membership/twplanfeed/follower.go
@@ -30,7 +30,7 @@
 // Change applies changed rows. A removed or unreadable row leaves the plan in force; an unreadable one is logged.
 func (f *Follower) Change(_ time.Time, snapshot turmericwall.Snapshot) {
 	for _, row := range snapshot.Rows {
-		if row.Key != f.config.Key || row.Dropped {
+		if row.Key != f.config.Key || row.Removed {
 			continue
 		}
 		plan, err := f.config.Decoder.Plan(row.Value)
--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -101,7 +101,7 @@
 	if got.version <= d.version {
 		d.proof.ConfirmEcho(m.now, got.echo, got.ageMillis)
 	}
-	d.echoes[m.leader] = turmericwall.Echo{Incarnation: d.name, Moment: int64(m.now)}
+	d.echoes[m.leader] = turmericwall.Echo{Incarnation: d.name, BootTimeNanos: int64(m.now)}
 }
 
 // fetch makes a follower with an older version fetch the plan from the leader.
--- a/internal/membership/twproof/proof.go
+++ b/internal/membership/twproof/proof.go
@@ -63,8 +63,8 @@
 // A heartbeat can stay unread in a socket for seconds, while its receiver is suspended or a link is down. Dated by
 // its arrival, the proof would look new; dated by the echoed time, it is never newer than when it was written.
 func (p *Proof) ConfirmEcho(now twboottime.Moment, echo turmericwall.Echo, ageMillis int64) {
-	if echo.Incarnation == p.config.Incarnation && twboottime.Moment(echo.Moment) <= now {
-		p.ConfirmAged(twboottime.Moment(echo.Moment), ageMillis)
+	if echo.Incarnation == p.config.Incarnation && twboottime.Moment(echo.BootTimeNanos) <= now {
+		p.ConfirmAged(twboottime.Moment(echo.BootTimeNanos), ageMillis)
 	}
 }
 
--- a/internal/membership/twproof/proof_test.go
+++ b/internal/membership/twproof/proof_test.go
@@ -53,7 +53,7 @@
 func TestLateHeartbeatIsDatedByItsEcho(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
-	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-1", Moment: int64(at(1000))}, 200)
+	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-1", BootTimeNanos: int64(at(1000))}, 200)
 	g.Expect(p.AgeMillis(at(9000))).To(BeEquivalentTo(8200))
 	g.Expect(p.Admits(at(9000))).To(BeFalse())
 }
@@ -62,8 +62,8 @@
 func TestEchoOfAnotherIncarnationConfirmsNothing(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
-	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-0", Moment: int64(at(8900))}, 0)
-	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-1", Moment: int64(at(9001))}, 0)
+	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-0", BootTimeNanos: int64(at(8900))}, 0)
+	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-1", BootTimeNanos: int64(at(9001))}, 0)
 	p.ConfirmEcho(at(9000), turmericwall.Echo{}, 0)
 	g.Expect(p.AgeMillis(at(9000))).To(BeEquivalentTo(-1))
 }
@@ -74,6 +74,8 @@
 	p := newProof()
 	p.ConfirmAged(at(1000), math.MaxInt64)
 	p.ConfirmEcho(
-		at(9000), turmericwall.Echo{Incarnation: "i-1", Moment: int64(at(1000))}, math.MaxInt64/int64(time.Millisecond)+1)
+		at(9000), turmericwall.Echo{
+			Incarnation: "i-1", BootTimeNanos: int64(at(1000)),
+		}, math.MaxInt64/int64(time.Millisecond)+1)
 	g.Expect(p.AgeMillis(at(9000))).To(BeEquivalentTo(-1))
 }
--- a/internal/membership/twupstreamfeed/follower.go
+++ b/internal/membership/twupstreamfeed/follower.go
@@ -67,7 +67,7 @@
 // decode returns the upstream of a row, or false if the row was removed or cannot be decoded. Both, and a leaving
 // upstream, are logged.
 func (f *Follower) decode(row turmericwall.FeedRow) (turmericwall.Upstream, bool) {
-	if row.Dropped {
+	if row.Removed {
 		f.config.Recorder.Record(turmericwall.EventVMLeaving).Str("upstream", row.Key).Str("state", "removed").
 			Int("version", row.Version).Send()
 		return turmericwall.Upstream{}, false
--- a/internal/operations/tweventlog/catalogue_test.go
+++ b/internal/operations/tweventlog/catalogue_test.go
@@ -25,7 +25,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		listed[turmericwall.EventID(number)] = string(row[2])
 	}
-	g.Expect(listed).To(Equal(turmericwall.EventIDs()))
+	g.Expect(listed).To(Equal(turmericwall.EventMessages()))
 }
 
 // Each declared event must be recorded somewhere in the code, since operators would wait in vain for the others.
--- a/internal/placement/twaway/away.go
+++ b/internal/placement/twaway/away.go
@@ -56,7 +56,7 @@
 	var list []turmericwall.ChangingEngine
 	for id, c := range r.engines {
 		if left := c.deadline.Sub(now).Milliseconds(); left > 0 {
-			list = append(list, turmericwall.ChangingEngine{ID: id, Role: c.role, LeftMillis: left})
+			list = append(list, turmericwall.ChangingEngine{ID: id, Role: c.role, RemainingMillis: left})
 		}
 	}
 	return list
@@ -65,6 +65,6 @@
 // Told adds the role changes that a peer reports.
 func (r *Away) Told(now time.Time, list []turmericwall.ChangingEngine) {
 	for _, e := range list {
-		r.Note(e.ID, e.Role, now.Add(time.Duration(e.LeftMillis)*time.Millisecond))
+		r.Note(e.ID, e.Role, now.Add(time.Duration(e.RemainingMillis)*time.Millisecond))
 	}
 }
--- a/peering.go
+++ b/peering.go
@@ -13,11 +13,11 @@
 	PlanVersion int64 `json:"planVersion"`
 	// UpstreamsPosition is the position of the leader's view of upstreams; it increases with each change of the view.
 	UpstreamsPosition int64 `json:"upstreamsPosition"`
-	// StoreMillis is the age of the leader's state: the time since the store was queried for it, by the leader or by
+	// StateAgeMillis is the age of the leader's state: the time since the store was queried for it, by the leader or by
 	// the peer that sent it.
-	StoreMillis int64 `json:"storeMillis"`
-	// ProofMillis is the age of the proof that PlanVersion is in force; negative if there is none.
-	ProofMillis int64 `json:"proofMillis"`
+	StateAgeMillis int64 `json:"storeMillis"`
+	// ProofAgeMillis is the age of the proof that PlanVersion is in force; negative if there is none.
+	ProofAgeMillis int64 `json:"proofMillis"`
 	// Echo returns the receiver's own Moment from its last reply.
 	Echo Echo `json:"echo"`
 	// LeaseVersion is the version of the lease's row after the leader's last write.
@@ -47,8 +47,8 @@
 type Echo struct {
 	// Incarnation is that of the daemon whose clock it is.
 	Incarnation string `json:"incarnation,omitempty"`
-	// Moment is the time since the boot of the daemon's VM in nanoseconds.
-	Moment int64 `json:"moment,omitempty"`
+	// BootTimeNanos is the time since the boot of the daemon's VM in nanoseconds.
+	BootTimeNanos int64 `json:"moment,omitempty"`
 }
 
 // ChangingEngine is an engine that accepts no calls until it has its new role.
@@ -56,15 +56,15 @@
 	ID string `json:"id"`
 	// Role is the new role.
 	Role Role `json:"role"`
-	// LeftMillis is the longest remaining time of the change.
-	LeftMillis int64 `json:"leftMillis"`
+	// RemainingMillis is the longest remaining time of the change.
+	RemainingMillis int64 `json:"leftMillis"`
 }
 
 // HeartbeatReply is a daemon's reply to a heartbeat.
 type HeartbeatReply struct {
 	Member
-	// UpMillis is the time since the daemon's start.
-	UpMillis int64 `json:"upMillis"`
+	// UptimeMillis is the time since the daemon's start.
+	UptimeMillis int64 `json:"upMillis"`
 	// LinkMegabits is the rate of the daemon's network link in Mbit/s.
 	LinkMegabits float64 `json:"linkMegabits"`
 	Zone         string  `json:"zone"`
@@ -73,14 +73,14 @@
 	// PlanVersion and UpstreamsPosition are those of the daemon's own state.
 	PlanVersion       int64 `json:"planVersion"`
 	UpstreamsPosition int64 `json:"upstreamsPosition"`
-	// ReadMillis is the time since the daemon itself sent its last answered read to the store; negative before the
-	// first one.
-	ReadMillis int64 `json:"readMillis"`
-	// ProofMillis is the age of the proof that PlanVersion is in force; negative if there is none.
-	ProofMillis int64 `json:"proofMillis"`
-	// Moment is the time of the reply for the Echo of the next heartbeat, in nanoseconds since the boot of the daemon's
-	// VM.
-	Moment int64 `json:"moment"`
+	// StoreReadAgeMillis is the time since the daemon itself sent its last answered read to the store; negative before
+	// the first one.
+	StoreReadAgeMillis int64 `json:"readMillis"`
+	// ProofAgeMillis is the age of the proof that PlanVersion is in force; negative if there is none.
+	ProofAgeMillis int64 `json:"proofMillis"`
+	// BootTimeNanos is the time of the reply for the Echo of the next heartbeat, in nanoseconds since the boot of the
+	// daemon's VM.
+	BootTimeNanos int64 `json:"moment"`
 	// Uses is what the daemon itself charged to client accounts.
 	Uses []AccountUse `json:"uses,omitempty"`
 	// Rates are the rates that the daemon itself received from upstreams within the last five seconds.
@@ -125,10 +125,10 @@
 	LeaseHolder  Member `json:"leaseHolder"`
 	// Standbys are those in the leader's last heartbeat.
 	Standbys []Member `json:"standbys,omitempty"`
-	// FreshMillis is the time since the store was queried for this state; negative if it is unknown.
-	FreshMillis int64 `json:"freshMillis"`
-	// ProofMillis is the age of the proof that the answering daemon's plan is in force; negative if there is none.
-	ProofMillis int64 `json:"proofMillis"`
+	// StateAgeMillis is the time since the store was queried for this state; negative if it is unknown.
+	StateAgeMillis int64 `json:"freshMillis"`
+	// ProofAgeMillis is the age of the proof that the answering daemon's plan is in force; negative if there is none.
+	ProofAgeMillis int64 `json:"proofMillis"`
 	// Members are the addresses in the answering daemon's list of members, as of MembersVersion.
 	Members        []string `json:"members,omitempty"`
 	MembersVersion int64    `json:"membersVersion,omitempty"`
@@ -160,8 +160,8 @@
 	Granted int `json:"granted,omitempty"`
 	// If no sends are granted, NextMillis is the time until the daemon may make its next request, and RetryMillis the
 	// time until the caller may retry.
-	NextMillis  int64 `json:"nextMillis,omitempty"`
-	RetryMillis int64 `json:"retryMillis,omitempty"`
+	NextRequestMillis int64 `json:"nextMillis,omitempty"`
+	RetryMillis       int64 `json:"retryMillis,omitempty"`
 }
 
 // PeerClient calls other daemons at their addresses (host:port).
--- a/routes.go
+++ b/routes.go
@@ -38,8 +38,8 @@
 	TargetMillis int64 `json:"targetMillis"`
 	// Priority orders the waiting calls of all routes; 0 goes first.
 	Priority int `json:"priority"`
-	// Model is set if the calls carry a prompt for a model engine.
-	Model bool `json:"model"`
+	// ForModelEngine is set if the calls carry a prompt for a model engine.
+	ForModelEngine bool `json:"model"`
 	// Resumable is set if a stream may continue at another upstream after the last delivered event.
 	Resumable bool `json:"resumable"`
 	// EventGapMillis is the longest time between two events of a stream that is on time; 0 means no limit.
@@ -66,8 +66,8 @@
 	MemoryTokens int `json:"memoryTokens"`
 	// TokensPerEvent is the largest number of tokens in one event of a stream.
 	TokensPerEvent int `json:"tokensPerEvent"`
-	// ExportMillis is how long an engine keeps a finished prefill for another engine.
-	ExportMillis int64 `json:"exportMillis"`
+	// ExportRetentionMillis is how long an engine keeps a finished prefill for another engine.
+	ExportRetentionMillis int64 `json:"exportMillis"`
 	// RoleChangeMillis is how long an engine accepts no calls while it changes its role.
 	RoleChangeMillis int64 `json:"roleChangeMillis"`
 	// MaxReservationMillis is the longest reservation that an engine grants.
@@ -77,8 +77,8 @@
 // CallerLimits are the limits on callers' requests and connections.
 type CallerLimits struct {
 	MaxBodyBytes int64 `json:"maxBodyBytes"`
-	// IdleMillis is the idle timeout of a caller's connection.
-	IdleMillis int64 `json:"idleMillis"`
+	// IdleTimeoutMillis is the idle timeout of a caller's connection.
+	IdleTimeoutMillis int64 `json:"idleMillis"`
 }
 
 // RoutePlan is one version of the operator's complete configuration of routes, services and client accounts. It must
