--- a/internal/delivery/twdelivery/run.go
+++ b/internal/delivery/twdelivery/run.go
@@ -105,7 +105,7 @@
 		Attempt: name, Service: r.request.Service, Model: r.request.Model, Account: r.request.Account,
 		Work: r.request.Work.Name, Urgent: r.request.Work.Urgent, Worth: r.request.Work.Worth,
 		TokenGapMillis: float64(r.request.Work.TokenGapMillis),
-		PromptTokens:   twblocks.Tokens(r.promptWithAnswer()),
+		PromptTokens:   twblocks.EstimateTokens(r.promptWithAnswer()),
 		MaxTokens:      r.remainingTokens(),
 		BlockHashes:    twblocks.Hashes(r.request.Prompt),
 		Avoid:          r.avoidedEngines,
@@ -243,7 +243,7 @@
 }
 
 func (r *run) usage() turmericwall.Usage {
-	prompt := twblocks.Tokens(r.request.Prompt)
+	prompt := twblocks.EstimateTokens(r.request.Prompt)
 	return turmericwall.Usage{
 		PromptTokens:     prompt,
 		CompletionTokens: r.assembly.DeliveredTokens(),
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -243,7 +243,7 @@
 		LeaseExpired: d.election.Expired, Staleness: 1300 * time.Millisecond,
 		Stopping:     func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.stopping },
 		Changing:     func() []turmericwall.ChangingEngine { return d.roleChanges.List(time.Now()) },
-		ChangingTold: func(list []turmericwall.ChangingEngine) { d.roleChanges.Told(time.Now(), list) },
+		ChangingTold: func(list []turmericwall.ChangingEngine) { d.roleChanges.AddReported(time.Now(), list) },
 		Gone: func(incarnation string) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
@@ -476,8 +476,8 @@
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
-	a.roleChanges.Note("e", turmericwall.RolePrefill, time.Now().Add(time.Minute))
+	a.roleChanges.Add("e", turmericwall.RolePrefill, time.Now().Add(time.Minute))
 	g.Eventually(func() bool {
-		return b.roleChanges.Is(time.Now(), turmericwall.Upstream{ID: "e", Role: turmericwall.RoleDecode})
+		return b.roleChanges.IsChangingRole(time.Now(), turmericwall.Upstream{ID: "e", Role: turmericwall.RoleDecode})
 	}, "1s").Should(BeTrue())
 }
--- a/internal/operations/twdaemon/build.go
+++ b/internal/operations/twdaemon/build.go
@@ -105,14 +105,15 @@
 	engines := twengine.New(twengine.Config{Registry: d.registry})
 	d.canceller = twcanceller.New(twcanceller.Config{Engines: engines, Clock: d.clock, Recorder: d.recorder})
 	d.leader = twleader.New(twleader.Config{
-		NewPolicy: func() turmericwall.Policy { return twpolicy.New(d.settings.Policy) },
-		Duties:    d.ledServices,
-		Links:     d.links,
-		Engines:   engines, Fleet: d.fleet, Peers: d.exchange, Holder: attemptHolder{d}, Canceller: d.canceller,
+		NewPolicy:   func() turmericwall.Policy { return twpolicy.New(d.settings.Policy) },
+		LedServices: d.ledServices,
+		Links:       d.links,
+		Engines:     engines, Fleet: d.fleet, Peers: d.exchange, Holder: attemptHolder{d}, Canceller: d.canceller,
 		Clock: d.clock, Recorder: d.recorder, Registry: d.registry,
 	})
 	d.router = twrouter.New(twrouter.Config{
-		Peers: d.exchange, Local: d.leader, Alone: d.settings.Policy != twpolicy.Leader, Clock: d.clock, Recorder: d.recorder,
+		Peers: d.exchange, Local: d.leader, LocalOnly: d.settings.Policy != twpolicy.Leader, Clock: d.clock,
+		Recorder: d.recorder,
 	})
 	d.delivery = twdelivery.New(twdelivery.Config{
 		Incarnation: incarnation, Placer: d.router, Engines: engines, Canceller: d.canceller,
--- a/internal/placement/twaway/away.go
+++ b/internal/placement/twaway/away.go
@@ -26,16 +26,16 @@
 // New returns an Away without engines.
 func New() *Away { return &Away{engines: make(map[string]change)} }
 
-// Note adds an engine that accepted a change to the role. The change is discarded after the deadline, even if the
+// Add adds an engine that accepted a change to the role. The change is discarded after the deadline, even if the
 // engine never reports the role.
-func (r *Away) Note(id string, role turmericwall.Role, deadline time.Time) {
+func (r *Away) Add(id string, role turmericwall.Role, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.engines[id] = change{role: role, deadline: deadline}
 }
 
-// Is reports whether the engine, with the role that it reports now, is changing its role.
-func (r *Away) Is(now time.Time, engine turmericwall.Upstream) bool {
+// IsChangingRole reports whether the engine, with the role that it reports now, is changing its role.
+func (r *Away) IsChangingRole(now time.Time, engine turmericwall.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c, ok := r.engines[engine.ID]
@@ -62,9 +62,9 @@
 	return list
 }
 
-// Told adds the role changes that a peer reports.
-func (r *Away) Told(now time.Time, list []turmericwall.ChangingEngine) {
+// AddReported adds the role changes that a peer reports.
+func (r *Away) AddReported(now time.Time, list []turmericwall.ChangingEngine) {
 	for _, e := range list {
-		r.Note(e.ID, e.Role, now.Add(time.Duration(e.RemainingMillis)*time.Millisecond))
+		r.Add(e.ID, e.Role, now.Add(time.Duration(e.RemainingMillis)*time.Millisecond))
 	}
 }
--- a/internal/placement/twaway/away_test.go
+++ b/internal/placement/twaway/away_test.go
@@ -19,18 +19,18 @@
 func TestEngineChangesRoleUntilItReportsNewRole(t *testing.T) {
 	g := NewWithT(t)
 	changes := twaway.New()
-	g.Expect(changes.Is(start, engine(turmericwall.RoleDecode))).To(BeFalse())
-	changes.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
-	g.Expect(changes.Is(start.Add(12*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
-	g.Expect(changes.Is(start.Add(13*time.Second), engine(turmericwall.RolePrefill))).To(BeFalse())
+	g.Expect(changes.IsChangingRole(start, engine(turmericwall.RoleDecode))).To(BeFalse())
+	changes.Add("e", turmericwall.RolePrefill, start.Add(20*time.Second))
+	g.Expect(changes.IsChangingRole(start.Add(12*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
+	g.Expect(changes.IsChangingRole(start.Add(13*time.Second), engine(turmericwall.RolePrefill))).To(BeFalse())
 	g.Expect(changes.List(start.Add(13 * time.Second))).To(BeEmpty())
 }
 
 func TestUnfinishedRoleChangeExpires(t *testing.T) {
 	g := NewWithT(t)
 	changes := twaway.New()
-	changes.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
-	g.Expect(changes.Is(start.Add(21*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
+	changes.Add("e", turmericwall.RolePrefill, start.Add(20*time.Second))
+	g.Expect(changes.IsChangingRole(start.Add(21*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
 }
 
 // Guards against a leader that takes a changing engine for an idle one: after the leader that had ordered the change
@@ -39,9 +39,9 @@
 func TestNextLeaderReceivesRoleChanges(t *testing.T) {
 	g := NewWithT(t)
 	former, next := twaway.New(), twaway.New()
-	former.Note("e", turmericwall.RolePrefill, start.Add(20*time.Second))
+	former.Add("e", turmericwall.RolePrefill, start.Add(20*time.Second))
 	receivedAt := start.Add(time.Hour)
-	next.Told(receivedAt, former.List(start.Add(time.Second)))
-	g.Expect(next.Is(receivedAt.Add(18*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
-	g.Expect(next.Is(receivedAt.Add(20*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
+	next.AddReported(receivedAt, former.List(start.Add(time.Second)))
+	g.Expect(next.IsChangingRole(receivedAt.Add(18*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
+	g.Expect(next.IsChangingRole(receivedAt.Add(20*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
 }
--- a/internal/placement/twblocks/blocks.go
+++ b/internal/placement/twblocks/blocks.go
@@ -17,8 +17,8 @@
 	MaxBlocks = 128
 )
 
-// Tokens estimates the number of tokens of a text; it is at least one.
-func Tokens(text string) int { return max(1, len(text)/BytesPerToken) }
+// EstimateTokens estimates the number of tokens of a text; it is at least one.
+func EstimateTokens(text string) int { return max(1, len(text)/BytesPerToken) }
 
 // Hashes returns the chained hash of each complete block, up to MaxBlocks. Each hash covers all blocks before its own,
 // so equal hashes mean equal prefixes. The rest of the prompt is ignored.
--- a/internal/placement/twbooks/shortage.go
+++ b/internal/placement/twbooks/shortage.go
@@ -37,8 +37,8 @@
 // hasEnded reports whether there was no shortage for minSurplusSpan.
 func (s *shortage) hasEnded(now time.Time) bool { return now.Sub(s.lastAt) > minSurplusSpan }
 
-// Need returns the shortage and surplus of each role and the mean cost of a call.
-func (a *Books) Need(now time.Time) turmericwall.EngineDemand {
+// EngineDemand returns the shortage and surplus of each role and the mean cost of a call.
+func (a *Books) EngineDemand(now time.Time) turmericwall.EngineDemand {
 	need := turmericwall.EngineDemand{
 		Busy: a.Busy(),
 		Prefill: turmericwall.RoleDemand{
--- a/internal/placement/twbooks/shortage_test.go
+++ b/internal/placement/twbooks/shortage_test.go
@@ -34,15 +34,15 @@
 	sim := newSimulation(1, 9)
 	sim.pausesStreams = true
 	at := requestAbovePrefillRate(sim, 1500*time.Millisecond)
-	g.Expect(sim.allocator.Need(at).Prefill.Shortage).To(BeFalse(), "a burst")
+	g.Expect(sim.allocator.EngineDemand(at).Prefill.Shortage).To(BeFalse(), "a burst")
 	sim = newSimulation(1, 9)
 	sim.pausesStreams = true
 	at = requestAbovePrefillRate(sim, 5*time.Second)
-	need := sim.allocator.Need(at)
+	need := sim.allocator.EngineDemand(at)
 	g.Expect(need.Prefill).To(Equal(turmericwall.RoleDemand{Shortage: true}))
 	g.Expect(need.Decode).To(Equal(turmericwall.RoleDemand{Surplus: true}))
 	g.Expect(need.CostKnown).To(BeTrue())
-	g.Expect(sim.allocator.Need(at.Add(16*time.Second)).Prefill).To(
+	g.Expect(sim.allocator.EngineDemand(at.Add(16*time.Second)).Prefill).To(
 		Equal(turmericwall.RoleDemand{Surplus: true}), "the shortage has ended")
 }
 
@@ -56,6 +56,6 @@
 		a.Decide(at)
 		at = at.Add(50 * time.Millisecond)
 	}
-	g.Expect(a.Need(at).Decode).To(Equal(turmericwall.RoleDemand{Shortage: true}))
-	g.Expect(a.Need(at.Add(10 * time.Second)).Decode.Surplus).To(BeFalse())
+	g.Expect(a.EngineDemand(at).Decode).To(Equal(turmericwall.RoleDemand{Shortage: true}))
+	g.Expect(a.EngineDemand(at.Add(10 * time.Second)).Decode.Surplus).To(BeFalse())
 }
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -19,12 +19,12 @@
 	Tuning twbooks.Tuning
 	// Upstreams returns the known upstreams of a service.
 	Upstreams func(service string) []turmericwall.Upstream
-	// Away reports whether an engine is changing its role and takes no calls.
-	Away func(now time.Time, engine turmericwall.Upstream) bool
-	// Open reports whether an engine accepts calls now.
-	Open func(engine turmericwall.UpstreamKey) bool
-	// Keeping reports whether this daemon is the leader, which places the calls of all daemons.
-	Keeping func() bool
+	// ChangingRole reports whether an engine is changing its role and takes no calls.
+	ChangingRole func(now time.Time, engine turmericwall.Upstream) bool
+	// AcceptsCalls reports whether an engine accepts calls now.
+	AcceptsCalls func(engine turmericwall.UpstreamKey) bool
+	// IsLeader reports whether this daemon is the leader, which places the calls of all daemons.
+	IsLeader func() bool
 	// Service returns the operator's plan of a service.
 	Service func(service string) (turmericwall.ServicePlan, bool)
 	// Quotas is charged for each call that is placed here.
@@ -92,7 +92,7 @@
 	switch {
 	case request.Units <= 0:
 		return nil
-	case c.config.Keeping():
+	case c.config.IsLeader():
 		return c.config.Quotas.Charge(request.Account, request.Units)
 	default:
 		return c.config.Quotas.ChargeLocally(request.Account, request.Units)
@@ -150,8 +150,8 @@
 	c.decide(now, end.Service, s)
 }
 
-// Lost releases the calls of a daemon that has terminated.
-func (c *Coordinator) Lost(owner string) {
+// ReleaseOwner releases the calls of a daemon that has terminated.
+func (c *Coordinator) ReleaseOwner(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.services {
@@ -169,8 +169,10 @@
 	s.allocator.Adopt(now, run)
 }
 
-// Keeps records the cached prompts that an engine reports.
-func (c *Coordinator) Keeps(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt) {
+// RecordCachedPrompts records the cached prompts that an engine reports.
+func (c *Coordinator) RecordCachedPrompts(
+	service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt,
+) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,8 +181,8 @@
 	s.allocator.RecordCachedPrompts(now, engine, prompts)
 }
 
-// Keep releases the calls of all daemons but this one, when it is no longer the leader.
-func (c *Coordinator) Keep(owner string) {
+// ReleaseOtherOwners releases the calls of all daemons but this one, when it is no longer the leader.
+func (c *Coordinator) ReleaseOtherOwners(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.services {
@@ -209,12 +211,12 @@
 	return c.service(service).allocator.Waiting()
 }
 
-// Need returns the shortage and surplus of engines of each role for the service's calls.
-func (c *Coordinator) Need(service string) turmericwall.EngineDemand {
+// EngineDemand returns the shortage and surplus of engines of each role for the service's calls.
+func (c *Coordinator) EngineDemand(service string) turmericwall.EngineDemand {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.service(service).allocator.Need(now)
+	return c.service(service).allocator.EngineDemand(now)
 }
 
 func (c *Coordinator) enqueue(request turmericwall.PlaceRequest) <-chan decision {
@@ -285,7 +287,7 @@
 	if plan, ok := c.config.Service(service); ok && plan.Engine != nil {
 		s.allocator.SetPlan(*plan.Engine)
 	}
-	leading := c.config.Keeping()
+	leading := c.config.IsLeader()
 	if leading && !c.wasLeader {
 		c.decideFrom = now.Add(takeoverDelay)
 	}
@@ -300,7 +302,7 @@
 	list := c.config.Upstreams(service)
 	copied := false
 	for i, u := range list {
-		changing, accepting := c.config.Away(now, u), c.config.Open(u.Key())
+		changing, accepting := c.config.ChangingRole(now, u), c.config.AcceptsCalls(u.Key())
 		if !changing && accepting {
 			continue
 		}
--- a/internal/placement/twcoordinator/coordinator_test.go
+++ b/internal/placement/twcoordinator/coordinator_test.go
@@ -26,8 +26,8 @@
 			engine := turmericwall.EnginePlan{Slots: 16, MemoryTokens: 76_000, TokensPerEvent: 50, MaxReservationMillis: 2000}
 			return turmericwall.ServicePlan{Name: name, Engine: &engine}, true
 		},
-		Away: func(time.Time, turmericwall.Upstream) bool { return false }, Keeping: leading.Load,
-		Open: func(turmericwall.UpstreamKey) bool { return true },
+		ChangingRole: func(time.Time, turmericwall.Upstream) bool { return false }, IsLeader: leading.Load,
+		AcceptsCalls: func(turmericwall.UpstreamKey) bool { return true },
 	})
 }
 
@@ -72,5 +72,5 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(placement.Prefill.ID).To(Equal("p1"))
 	c.ApplyUpdate(turmericwall.PlacementUpdate{ID: "mine", Service: "s"})
-	g.Expect(c.Need("s").Busy).To(BeFalse())
+	g.Expect(c.EngineDemand("s").Busy).To(BeFalse())
 }
--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -26,8 +26,8 @@
 
 // Config holds the dependencies of a delegate.
 type Config struct {
-	// Own is this daemon's coordinator. It places the calls while this daemon is the leader or while there is none.
-	Own   *twcoordinator.Coordinator
+	// Local is this daemon's coordinator. It places the calls while this daemon is the leader or while there is none.
+	Local *twcoordinator.Coordinator
 	Peers turmericwall.PeerClient
 	// Leader returns the live leader; self is set when it is this daemon, ok when there is one.
 	Leader   func() (leader turmericwall.Member, self, ok bool)
@@ -82,7 +82,7 @@
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
 			Str("request", request.ID).Str("leader", leader.Name).Err(err).Send()
 	}
-	placement, err := d.config.Own.Place(ctx, request)
+	placement, err := d.config.Local.Place(ctx, request)
 	if err == nil {
 		d.recordPlaced(request, placement)
 		if !ok || !self {
@@ -94,7 +94,7 @@
 
 // ApplyUpdate applies a report on a placed call locally and queues it for the leader; it never blocks on the network.
 func (d *Delegate) ApplyUpdate(end turmericwall.PlacementUpdate) {
-	d.config.Own.ApplyUpdate(end)
+	d.config.Local.ApplyUpdate(end)
 	d.mu.Lock()
 	if run, ok := d.placedCalls[end.ID]; ok && end.Running && end.Prefilled {
 		run.started = true
@@ -158,7 +158,7 @@
 		return placement, err
 	}
 	d.recordPlaced(request, placement)
-	d.config.Own.Adopt(turmericwall.PlacedCall{
+	d.config.Local.Adopt(turmericwall.PlacedCall{
 		Request: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.PrefillEndsAt).Milliseconds(),
 	})
 	return placement, nil
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -99,19 +99,19 @@
 		{ID: "d", Service: "s", Slots: 4, Role: turmericwall.RoleDecode},
 	}
 	own := twcoordinator.New(twcoordinator.Config{
-		Open:      func(turmericwall.UpstreamKey) bool { return true },
-		Tuning:    twbooks.DefaultTuning(),
-		Upstreams: func(string) []turmericwall.Upstream { return engines },
+		AcceptsCalls: func(turmericwall.UpstreamKey) bool { return true },
+		Tuning:       twbooks.DefaultTuning(),
+		Upstreams:    func(string) []turmericwall.Upstream { return engines },
 		Service: func(string) (turmericwall.ServicePlan, bool) {
 			return turmericwall.ServicePlan{
 				Engine: &turmericwall.EnginePlan{Slots: 4, MemoryTokens: 50_000, TokensPerEvent: 50},
 			}, true
 		},
-		Keeping: func() bool { return false },
-		Away:    func(time.Time, turmericwall.Upstream) bool { return false },
+		IsLeader:     func() bool { return false },
+		ChangingRole: func(time.Time, turmericwall.Upstream) bool { return false },
 	})
 	s.delegate = twdelegate.New(twdelegate.Config{
-		Own: own, Peers: s.leader, Owner: "me", Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		Local: own, Peers: s.leader, Owner: "me", Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 		Leader: func() (turmericwall.Member, bool, bool) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/placement/twinventory/inventory.go
+++ b/internal/placement/twinventory/inventory.go
@@ -21,9 +21,9 @@
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
 	Upstreams turmericwall.UpstreamClient
-	// Keeps records the prompts that an engine has cached.
-	Keeps    func(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt)
-	Recorder turmericwall.Recorder
+	// RecordCachedPrompts records the prompts that an engine has cached.
+	RecordCachedPrompts func(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt)
+	Recorder            turmericwall.Recorder
 }
 
 // Inventory queries the cached prompts of the decode engines.
@@ -37,12 +37,12 @@
 	return &Inventory{config: config, requested: make(chan struct{}, 1)}
 }
 
-// Want starts one query of all engines; it never blocks.
+// RequestRefresh starts one query of all engines; it never blocks.
 //
 // A new leader does not know the callers that its predecessor served. After a power failure they all retry at once.
 // Their prompts are still cached, but a leader that does not know this has them prefilled again, ahead of those of new
 // calls.
-func (i *Inventory) Want() {
+func (i *Inventory) RequestRefresh() {
 	select {
 	case i.requested <- struct{}{}:
 	default:
@@ -101,5 +101,5 @@
 		i.config.Recorder.Record(turmericwall.EventEngineUnreachable).Str("upstream", engine.ID).Err(err).Send()
 		return
 	}
-	i.config.Keeps(engine.Service, engine.Key(), prompts)
+	i.config.RecordCachedPrompts(engine.Service, engine.Key(), prompts)
 }
--- a/internal/placement/twinventory/inventory_test.go
+++ b/internal/placement/twinventory/inventory_test.go
@@ -79,13 +79,13 @@
 				{ID: "c", Role: turmericwall.RolePrefill},
 			}
 		},
-		Upstreams: e, Keeps: e.record, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		Upstreams: e, RecordCachedPrompts: e.record, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- i.Run(ctx) }()
 	g.Consistently(e.recorded, "50ms").Should(BeEmpty())
-	i.Want()
+	i.RequestRefresh()
 	g.Eventually(e.recorded, "200ms").Should(Equal(map[string][]turmericwall.CachedPrompt{
 		"a": {{Subject: "of a", Tokens: 5000}},
 	}))
@@ -110,12 +110,12 @@
 			}
 			return list
 		},
-		Upstreams: e, Keeps: e.record, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		Upstreams: e, RecordCachedPrompts: e.record, Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- i.Run(ctx) }()
-	i.Want()
+	i.RequestRefresh()
 	g.Eventually(func() int { return len(e.recorded()) }, "5s").Should(Equal(1000))
 	stop()
 	g.Eventually(done, "1s").Should(Receive())
--- a/internal/placement/twleader/leader.go
+++ b/internal/placement/twleader/leader.go
@@ -30,8 +30,8 @@
 type Config struct {
 	// NewPolicy returns the policy for one service.
 	NewPolicy func() turmericwall.Policy
-	// Duties returns the services that this daemon leads; it polls their engines even while no request arrives.
-	Duties func() []string
+	// LedServices returns the services that this daemon leads; it polls their engines even while no request arrives.
+	LedServices func() []string
 	// Links returns the declared links between zones.
 	Links     func() []turmericwall.Link
 	Engines   turmericwall.Engines
@@ -89,7 +89,7 @@
 			running++
 			go func() { finished <- d.run(ctx) }()
 		case <-ticker.Chan():
-			for _, service := range l.config.Duties() {
+			for _, service := range l.config.LedServices() {
 				l.deciderFor(service).keepActive()
 			}
 		}
--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twordering/orders.go
@@ -25,10 +25,10 @@
 	Engines   func(service string) []turmericwall.Upstream
 	Upstreams turmericwall.UpstreamClient
 	// Fence returns the fencing token; ok is false while this daemon does not hold the lease and must not order.
-	Fence func() (int64, bool)
-	Need  func(service string) turmericwall.EngineDemand
-	// Changed is called for an engine that accepted an order; until is when its change has finished at the latest.
-	Changed func(id string, role turmericwall.Role, until time.Time)
+	Fence        func() (int64, bool)
+	EngineDemand func(service string) turmericwall.EngineDemand
+	// OnAccepted is called for an engine that accepted an order; until is when its change has finished at the latest.
+	OnAccepted func(id string, role turmericwall.Role, until time.Time)
 	// Holder is the name of this daemon, which each order carries with the fencing token.
 	Holder   string
 	Tuning   twroles.Tuning
@@ -94,7 +94,7 @@
 // planChanges reads the engines and the need before it locks mu. Placement holds a lock that Need waits for while it
 // checks which engines are changing their role.
 func (o *Orders) planChanges(service turmericwall.ServicePlan) []twroles.Change {
-	engines, need := o.config.Engines(service.Name), o.config.Need(service.Name)
+	engines, need := o.config.Engines(service.Name), o.config.EngineDemand(service.Name)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	planner, ok := o.planners[service.Name]
@@ -114,7 +114,7 @@
 	switch {
 	case !ok || err != nil:
 	case accepted:
-		o.config.Changed(change.Upstream.ID, change.Role, change.Until)
+		o.config.OnAccepted(change.Upstream.ID, change.Role, change.Until)
 	default:
 		planner.DiscardChange(change.Upstream.ID)
 	}
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -46,11 +46,11 @@
 			return []turmericwall.ServicePlan{{Name: "s", Engine: &turmericwall.EnginePlan{RoleChangeMillis: 500}}}
 		},
 		Engines: func(string) []turmericwall.Upstream { return list }, Upstreams: e, Fence: fence,
-		Need: func(string) turmericwall.EngineDemand {
+		EngineDemand: func(string) turmericwall.EngineDemand {
 			onNeed()
 			return turmericwall.EngineDemand{}
 		},
-		Changed: e.roleChanges.Note, Holder: "me", Tuning: twroles.DefaultTuning(),
+		OnAccepted: e.roleChanges.Add, Holder: "me", Tuning: twroles.DefaultTuning(),
 		Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -71,7 +71,7 @@
 
 // isChangingRole reports whether the engine, which still reports its old role, counts as changing it.
 func (e *engines) isChangingRole(id string) bool {
-	return e.roleChanges.Is(time.Now(), turmericwall.Upstream{ID: id, Role: turmericwall.RolePrefill})
+	return e.roleChanges.IsChangingRole(time.Now(), turmericwall.Upstream{ID: id, Role: turmericwall.RolePrefill})
 }
 
 // Calls are placed while roles are planned. Placement holds its own lock while it checks which engines are changing.
--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -121,7 +121,7 @@
 			gain = r.tuning.MinGain
 		}
 		best := p.final.Best(role, need.Cost)
-		if best.Worth(need.Cost) > p.final.Worth(need.Cost)*(1+gain) && (!need.Busy || p.canSpare(role, need.Cost)) {
+		if best.Score(need.Cost) > p.final.Score(need.Cost)*(1+gain) && (!need.Busy || p.canSpare(role, need.Cost)) {
 			return role, true
 		}
 	}
--- a/internal/placement/twrouter/router.go
+++ b/internal/placement/twrouter/router.go
@@ -43,10 +43,10 @@
 	Peers turmericwall.Peers
 	// Local decides without another daemon.
 	Local turmericwall.Placer
-	// Alone places all arrivals locally, as the baseline policies do.
-	Alone    bool
-	Clock    clockwork.Clock
-	Recorder turmericwall.Recorder
+	// LocalOnly places all arrivals locally, as the baseline policies do.
+	LocalOnly bool
+	Clock     clockwork.Clock
+	Recorder  turmericwall.Recorder
 }
 
 // New returns a router. Endings are sent only while Run runs.
@@ -54,7 +54,7 @@
 	return &Router{
 		peers:           config.Peers,
 		local:           config.Local,
-		localOnly:       config.Alone,
+		localOnly:       config.LocalOnly,
 		clock:           config.Clock,
 		recorder:        config.Recorder,
 		endings:         make(chan turmericwall.Ending, maxPendingEndings),
--- a/internal/placement/twsplit/split.go
+++ b/internal/placement/twsplit/split.go
@@ -19,7 +19,7 @@
 func (s Split) Best(role turmericwall.Role, cost turmericwall.CallCost) Split {
 	for {
 		next := s.Moved(role)
-		if next.Worth(cost) <= s.Worth(cost) {
+		if next.Score(cost) <= s.Score(cost) {
 			return s
 		}
 		s = next
@@ -41,11 +41,11 @@
 // minCostMillis is the lowest cost of a call that is computed with; it keeps rates finite.
 const minCostMillis = 0.001
 
-// Worth returns the value by which splits are compared, in calls per millisecond: the mean of the rate and of the
+// Score returns the value by which splits are compared, in calls per millisecond: the mean of the rate and of the
 // expected rate after the loss of one engine.
 //
 // The rate alone would leave one prefill engine to a small service, and the loss of that engine would stop every call.
-func (s Split) Worth(cost turmericwall.CallCost) float64 {
+func (s Split) Score(cost turmericwall.CallCost) float64 {
 	total := float64(s.Prefills + s.Decodes)
 	if total <= 0 {
 		return 0
--- a/internal/placement/twsplit/split_test.go
+++ b/internal/placement/twsplit/split_test.go
@@ -24,8 +24,8 @@
 	cost := turmericwall.CallCost{PrefillMillis: 100, DecodeMillis: 1000}
 	one := twsplit.Split{Prefills: 1, Decodes: 11}
 	g.Expect(one.Rate(cost)).To(BeNumerically("~", 0.01, 1e-9))
-	g.Expect(one.Worth(cost)).To(BeNumerically("~", (0.01+0.01*11/12)/2, 1e-9))
-	g.Expect(twsplit.Split{}.Worth(cost)).To(BeZero())
+	g.Expect(one.Score(cost)).To(BeNumerically("~", (0.01+0.01*11/12)/2, 1e-9))
+	g.Expect(twsplit.Split{}.Score(cost)).To(BeZero())
 }
 
 func TestMoveKeepsNumberOfEngines(t *testing.T) {
