--- a/internal/membership/twcluster/cluster.go
+++ b/internal/membership/twcluster/cluster.go
@@ -36,12 +36,12 @@
 	Peers    turmericwall.PeerClient
 	Self     turmericwall.Member
 	Recorder turmericwall.Recorder
-	// Leading reports whether this daemon is the leader, and its term.
-	Leading func() (term int64, ok bool)
+	// IsLeader reports whether this daemon is the leader, and its term.
+	IsLeader func() (term int64, ok bool)
 	// LeaseVersion is the version of the lease's row as this daemon knows it. LeaseTold applies the version that the
 	// leader sent.
-	LeaseVersion func() int64
-	LeaseTold    func(version int64, leader turmericwall.Member)
+	LeaseVersion      func() int64
+	ApplyLeaseVersion func(version int64, leader turmericwall.Member)
 	// LeaseExpired reports whether the leader failed to renew its lease within the term; it may be nil.
 	LeaseExpired func() bool
 	// PlanVersion and UpstreamsPosition are the newest route plan and the newest position of the upstream list on
@@ -54,37 +54,37 @@
 	Proof *twproof.Proof
 	// Staleness is the largest age of state that a daemon acts on.
 	Staleness time.Duration
-	// Behind is called to fetch state from another daemon that has newer state than this one.
-	Behind func(ctx context.Context, other turmericwall.Member)
+	// FetchState is called to fetch state from another daemon that has newer state than this one.
+	FetchState func(ctx context.Context, other turmericwall.Member)
 	// LinkMegabits is the rate of this daemon's network link in Mbit/s.
 	LinkMegabits float64
 	Zone         string
-	// Stopping reports whether this daemon has to give the lease up while it is the leader.
-	Stopping func() bool
-	// Nominated is called when the leader asks this daemon to take the lease.
-	Nominated func()
-	// Outranked is called when another daemon is the leader of a later term.
-	Outranked func()
+	// IsStopping reports whether this daemon has to give the lease up while it is the leader.
+	IsStopping func() bool
+	// OnNominated is called when the leader asks this daemon to take the lease.
+	OnNominated func()
+	// OnOutranked is called when another daemon is the leader of a later term.
+	OnOutranked func()
 	// Changing lists the engines that are changing role. ChangingTold applies the leader's list.
-	Changing     func() []turmericwall.ChangingEngine
-	ChangingTold func([]turmericwall.ChangingEngine)
+	Changing      func() []turmericwall.ChangingEngine
+	ApplyChanging func([]turmericwall.ChangingEngine)
 	// Uses is what this daemon itself counted against quotas, and TakeUses records the counts of another daemon.
 	// Levels is what is left of quotas by the leader's count, and TakeLevels applies the leader's levels.
-	Uses       func() []turmericwall.AccountUse
-	TakeUses   func(incarnation string, up time.Duration, uses []turmericwall.AccountUse)
-	Levels     func() []turmericwall.AccountLevel
-	TakeLevels func(leader string, levels []turmericwall.AccountLevel)
+	Uses        func() []turmericwall.AccountUse
+	RecordUses  func(incarnation string, up time.Duration, uses []turmericwall.AccountUse)
+	Levels      func() []turmericwall.AccountLevel
+	ApplyLevels func(leader string, levels []turmericwall.AccountLevel)
 	// Rates are the rate limits that upstreams state, and OwnRates those that this daemon received itself. TakeRates
 	// applies the rates of another daemon.
-	Rates     func() []turmericwall.UpstreamRate
-	OwnRates  func() []turmericwall.UpstreamRate
-	TakeRates func([]turmericwall.UpstreamRate)
+	Rates      func() []turmericwall.UpstreamRate
+	OwnRates   func() []turmericwall.UpstreamRate
+	ApplyRates func([]turmericwall.UpstreamRate)
 	// Leaving lists the upstreams that announced in an answer that they leave. TakeLeaving applies the list of
 	// another daemon.
-	Leaving     func() []turmericwall.UpstreamKey
-	TakeLeaving func([]turmericwall.UpstreamKey)
-	// Gone is called for an incarnation that is no longer live.
-	Gone func(incarnation string)
+	Leaving      func() []turmericwall.UpstreamKey
+	ApplyLeaving func([]turmericwall.UpstreamKey)
+	// OnPeerLost is called for an incarnation that is no longer live.
+	OnPeerLost func(incarnation string)
 }
 
 // Cluster is one daemon's view of the other daemons. Its methods are safe for concurrent use.
@@ -121,9 +121,9 @@
 	}
 }
 
-// Elected records that this daemon has become the leader and sends heartbeats at once. Until the other daemons
+// AnnounceElection records that this daemon has become the leader and sends heartbeats at once. Until the other daemons
 // receive one, they place calls with the former leader or locally, in conflict with this daemon's placements.
-func (c *Cluster) Elected() {
+func (c *Cluster) AnnounceElection() {
 	c.mu.Lock()
 	c.electedAt = time.Now()
 	c.mu.Unlock()
@@ -146,9 +146,9 @@
 	}
 }
 
-// Heard applies a heartbeat and returns this daemon's reply. A heartbeat of an earlier term is ignored while the
-// leader of the later term is live.
-func (c *Cluster) Heard(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
+// ApplyHeartbeat applies a heartbeat and returns this daemon's reply. A heartbeat of an earlier term is ignored while
+// the leader of the later term is live.
+func (c *Cluster) ApplyHeartbeat(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 	self := c.Self()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +162,8 @@
 	}
 	c.heartbeat = heartbeat
 	c.lastHeartbeatAt = time.Now()
-	if term, leading := c.config.Leading(); leading && heartbeat.Term > term && c.config.Outranked != nil {
-		c.config.Outranked()
+	if term, leading := c.config.IsLeader(); leading && heartbeat.Term > term && c.config.OnOutranked != nil {
+		c.config.OnOutranked()
 	}
 	if heartbeat.PlanVersion <= self.PlanVersion {
 		c.config.Proof.ConfirmEcho(twboottime.Now(), heartbeat.Echo, heartbeat.ProofAgeMillis)
@@ -175,21 +175,21 @@
 	if behind || (c.isStandby() && heartbeat.MembersVersion != c.copiedVersion) {
 		c.requestFetch(heartbeat.Leader)
 	}
-	c.config.LeaseTold(heartbeat.LeaseVersion, heartbeat.Leader)
-	if c.config.ChangingTold != nil {
-		c.config.ChangingTold(heartbeat.Changing)
+	c.config.ApplyLeaseVersion(heartbeat.LeaseVersion, heartbeat.Leader)
+	if c.config.ApplyChanging != nil {
+		c.config.ApplyChanging(heartbeat.Changing)
 	}
-	if c.config.TakeLevels != nil {
-		c.config.TakeLevels(heartbeat.Leader.Incarnation, heartbeat.Levels)
+	if c.config.ApplyLevels != nil {
+		c.config.ApplyLevels(heartbeat.Leader.Incarnation, heartbeat.Levels)
 	}
-	if c.config.TakeRates != nil {
-		c.config.TakeRates(heartbeat.Rates)
+	if c.config.ApplyRates != nil {
+		c.config.ApplyRates(heartbeat.Rates)
 	}
-	if c.config.TakeLeaving != nil {
-		c.config.TakeLeaving(heartbeat.Leaving)
+	if c.config.ApplyLeaving != nil {
+		c.config.ApplyLeaving(heartbeat.Leaving)
 	}
-	if heartbeat.Successor == c.config.Self && c.config.Nominated != nil {
-		c.config.Nominated()
+	if heartbeat.Successor == c.config.Self && c.config.OnNominated != nil {
+		c.config.OnNominated()
 	}
 	if c.config.Uses != nil {
 		self.Uses = c.config.Uses()
@@ -197,9 +197,9 @@
 	return self
 }
 
-// Informed reports whether another daemon leads and its state is younger than Config.Staleness.
-func (c *Cluster) Informed() bool {
-	leaderLive := c.LeaderHeard()
+// FollowsFreshLeader reports whether another daemon leads and its state is younger than Config.Staleness.
+func (c *Cluster) FollowsFreshLeader() bool {
+	leaderLive := c.FollowsLiveLeader()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	age := time.Since(c.lastHeartbeatAt) + time.Duration(c.heartbeat.StateAgeMillis)*time.Millisecond
@@ -224,7 +224,7 @@
 	reply := turmericwall.HeartbeatReply{
 		Member: c.config.Self, UptimeMillis: time.Since(c.startedAt).Milliseconds(),
 		LinkMegabits: c.config.LinkMegabits,
-		Zone:         c.config.Zone, Stopping: c.config.Stopping != nil && c.config.Stopping(),
+		Zone:         c.config.Zone, Stopping: c.config.IsStopping != nil && c.config.IsStopping(),
 		StoreReadAgeMillis: -1, ProofAgeMillis: c.config.Proof.AgeMillis(now), BootTimeNanos: int64(now),
 	}
 	if at := c.config.ReadAt(); !at.IsZero() {
@@ -255,8 +255,9 @@
 	return at
 }
 
-// Learned records that this daemon has all the state of a peer, which was queried from the store at the given time.
-func (c *Cluster) Learned(at time.Time) {
+// RecordPeerFreshAt records that this daemon has all the state of a peer, which was queried from the store at the given
+// time.
+func (c *Cluster) RecordPeerFreshAt(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recordPeerFreshAt(at)
@@ -270,7 +271,7 @@
 
 // Leader returns the live leader. self is true if that is this daemon; ok is false when no leader is live.
 func (c *Cluster) Leader() (leader turmericwall.Member, self, ok bool) {
-	if _, leading := c.config.Leading(); leading {
+	if _, leading := c.config.IsLeader(); leading {
 		return c.config.Self, true, true
 	}
 	c.mu.Lock()
@@ -281,20 +282,20 @@
 	return c.heartbeat.Leader, false, true
 }
 
-// LeaderHeard reports whether another daemon is the live leader.
-func (c *Cluster) LeaderHeard() bool {
+// FollowsLiveLeader reports whether another daemon is the live leader.
+func (c *Cluster) FollowsLiveLeader() bool {
 	_, self, ok := c.Leader()
 	return ok && !self
 }
 
-// Daemons returns the number of live daemons as last known, or 0 while it is unknown.
+// LiveDaemons returns the number of live daemons as last known, or 0 while it is unknown.
 //
 // A daemon that has received no heartbeat, or has just become the leader, does not know the others. If each such
 // daemon counted itself alone, each would spend the whole retry budget that all daemons share.
-func (c *Cluster) Daemons() int {
+func (c *Cluster) LiveDaemons() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, leading := c.config.Leading(); !leading || time.Since(c.electedAt) < memberTimeout {
+	if _, leading := c.config.IsLeader(); !leading || time.Since(c.electedAt) < memberTimeout {
 		return c.heartbeat.Daemons
 	}
 	n := 1
@@ -318,9 +319,9 @@
 // partitioned.
 const unresponsiveSpan = 12 * time.Second
 
-// Absent returns how many daemons replied to this leader within unresponsiveSpan but do not reply now. Daemons that
-// announced their stop are not counted.
-func (c *Cluster) Absent() int {
+// UnresponsiveDaemons returns how many daemons replied to this leader within unresponsiveSpan but do not reply now.
+// Daemons that announced their stop are not counted.
+func (c *Cluster) UnresponsiveDaemons() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -347,7 +348,7 @@
 		case <-c.sendNow:
 		case <-tick.C:
 		}
-		term, leading := c.config.Leading()
+		term, leading := c.config.IsLeader()
 		if !leading {
 			c.resetLiveness()
 			continue
@@ -363,8 +364,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case other := <-c.fetchRequests:
-			if c.config.Behind != nil {
-				c.config.Behind(ctx, other)
+			if c.config.FetchState != nil {
+				c.config.FetchState(ctx, other)
 			}
 		}
 	}
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -120,7 +120,7 @@
 	if !ok || partitioned {
 		return turmericwall.HeartbeatReply{}, errors.New("peer unreachable")
 	}
-	return cluster.Heard(heartbeat), nil
+	return cluster.ApplyHeartbeat(heartbeat), nil
 }
 
 func (n *network) FetchState(
@@ -157,8 +157,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for other, known := range n.clusters {
-		known.Join(turmericwall.Member{Address: address})
-		cluster.Join(turmericwall.Member{Address: other})
+		known.AddMember(turmericwall.Member{Address: address})
+		cluster.AddMember(turmericwall.Member{Address: other})
 	}
 	n.clusters[address] = cluster
 }
@@ -223,28 +223,28 @@
 	self := turmericwall.Member{Name: name, Address: name, Incarnation: name + "1"}
 	d.proof = twproof.New(twproof.Config{Incarnation: self.Incarnation})
 	d.election = twelection.New(twelection.Config{
-		Store: s, Self: self, Recorder: log, Apart: time.Second,
-		Patience:    func() time.Duration { return electionDelay },
-		LeaderHeard: func() bool { return d.cluster.Informed() },
-		Ready:       func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !d.stopping },
-		Elected:     func() { d.cluster.Elected() },
+		Store: s, Self: self, Recorder: log, OrderGap: time.Second,
+		ElectionDelay:      func() time.Duration { return electionDelay },
+		FollowsFreshLeader: func() bool { return d.cluster.FollowsFreshLeader() },
+		IsReady:            func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !d.stopping },
+		OnElected:          func() { d.cluster.AnnounceElection() },
 	})
 	none := func() int64 { return 0 }
 	d.cluster = twcluster.New(twcluster.Config{
 		Proof: d.proof,
-		Peers: n, Self: self, Recorder: log, Leading: d.election.Holds, PlanVersion: none, UpstreamsPosition: none,
-		LeaseVersion: d.election.Version, LeaseTold: d.election.Told, ReadAt: d.readAt,
-		Outranked: d.election.Yield, Nominated: d.election.Nominate,
-		Behind: func(ctx context.Context, other turmericwall.Member) {
+		Peers: n, Self: self, Recorder: log, IsLeader: d.election.Holds, PlanVersion: none, UpstreamsPosition: none,
+		LeaseVersion: d.election.LeaseVersion, ApplyLeaseVersion: d.election.RecordLeaseVersion, ReadAt: d.readAt,
+		OnOutranked: d.election.Yield, OnNominated: d.election.Nominate,
+		FetchState: func(ctx context.Context, other turmericwall.Member) {
 			if state, err := n.FetchState(ctx, other.Address, turmericwall.StateRequest{}); err == nil {
 				d.cluster.AddMembers(state.MembersVersion, state.Members)
 			}
 		},
 		LeaseExpired: d.election.Expired, Staleness: 1300 * time.Millisecond,
-		Stopping:     func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.stopping },
-		Changing:     func() []turmericwall.ChangingEngine { return d.roleChanges.List(time.Now()) },
-		ChangingTold: func(list []turmericwall.ChangingEngine) { d.roleChanges.AddReported(time.Now(), list) },
-		Gone: func(incarnation string) {
+		IsStopping:    func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.stopping },
+		Changing:      func() []turmericwall.ChangingEngine { return d.roleChanges.List(time.Now()) },
+		ApplyChanging: func(list []turmericwall.ChangingEngine) { d.roleChanges.AddReported(time.Now(), list) },
+		OnPeerLost: func(incarnation string) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.lostIncarnations = append(d.lostIncarnations, incarnation)
@@ -293,8 +293,8 @@
 	b, c := start(t, s, n, "b"), start(t, s, n, "c")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 	g.Eventually(follows(c, "a"), eventualTimeout).Should(BeTrue())
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
-	g.Eventually(b.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(b.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	_, ok := a.election.Fence()
 	g.Expect(ok).To(BeTrue())
 	a.stop()
@@ -341,7 +341,7 @@
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(2))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(2))
 	n.setPartitioned("b", true)
 	g.Eventually(a.lostPeers, eventualTimeout).Should(Equal([]string{"b1"}))
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeFalse())
@@ -360,7 +360,7 @@
 	c := start(t, s, n, "c")
 	time.Sleep(20 * time.Millisecond)
 	b := start(t, s, n, "b")
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
@@ -394,7 +394,7 @@
 	c := start(t, s, n, "c")
 	time.Sleep(20 * time.Millisecond)
 	b := start(t, s, n, "b")
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	b.mu.Lock()
 	b.stopping = true
 	b.mu.Unlock()
@@ -412,7 +412,7 @@
 	s, n, a := startLeader(t, g)
 	slowLink := startWithDelay(t, s, n, "poor", eventualTimeout)
 	fastLink := start(t, s, n, "good")
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	a.stop()
 	n.setPartitioned("a", true)
 	g.Eventually(leads(fastLink), eventualTimeout).Should(BeTrue())
@@ -426,11 +426,11 @@
 	g := NewWithT(t)
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
+	g.Eventually(b.cluster.FollowsFreshLeader, eventualTimeout).Should(BeTrue())
 	a.mu.Lock()
 	a.readsFail = true
 	a.mu.Unlock()
-	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeFalse())
+	g.Eventually(b.cluster.FollowsFreshLeader, eventualTimeout).Should(BeFalse())
 	s.refuse("a")
 	g.Eventually(leads(b), eventualTimeout).Should(BeTrue())
 	g.Eventually(leads(a), eventualTimeout).Should(BeFalse())
@@ -444,11 +444,11 @@
 	held := make(chan bool, 1)
 	var election *twelection.Election
 	election = twelection.New(twelection.Config{
-		Store: newStore(), Self: turmericwall.Member{Name: "a", Incarnation: "a1"}, Apart: time.Second,
-		Recorder:    tweventlog.New(tweventlog.Config{Output: io.Discard}),
-		LeaderHeard: func() bool { return false }, Ready: func() bool { return true },
-		Patience: func() time.Duration { return 0 },
-		Elected: func() {
+		Store: newStore(), Self: turmericwall.Member{Name: "a", Incarnation: "a1"}, OrderGap: time.Second,
+		Recorder:           tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		FollowsFreshLeader: func() bool { return false }, IsReady: func() bool { return true },
+		ElectionDelay: func() time.Duration { return 0 },
+		OnElected: func() {
 			_, holds := election.Holds()
 			held <- holds
 		},
--- a/internal/membership/twcluster/heartbeats.go
+++ b/internal/membership/twcluster/heartbeats.go
@@ -13,7 +13,7 @@
 func (c *Cluster) sendHeartbeats(ctx context.Context, term int64) {
 	// The ages are read before the state itself; see Self.
 	heartbeat := turmericwall.Heartbeat{
-		Leader: c.config.Self, Term: term, Daemons: c.Daemons(), LeaseVersion: c.config.LeaseVersion(),
+		Leader: c.config.Self, Term: term, Daemons: c.LiveDaemons(), LeaseVersion: c.config.LeaseVersion(),
 		StateAgeMillis: time.Since(c.FreshAt()).Milliseconds(),
 		ProofAgeMillis: c.config.Proof.AgeMillis(twboottime.Now()),
 	}
@@ -64,7 +64,7 @@
 // the lease and a standby reads the store. It returns the zero Member when no daemon has to be asked; the lock is
 // held.
 func (c *Cluster) nominee() turmericwall.Member {
-	stopping := c.config.Stopping != nil && c.config.Stopping()
+	stopping := c.config.IsStopping != nil && c.config.IsStopping()
 	expired := c.config.LeaseExpired != nil && c.config.LeaseExpired() &&
 		time.Since(c.config.ReadAt()) > c.config.Staleness
 	if !stopping && !expired {
@@ -83,14 +83,14 @@
 	defer cancel()
 	sentAt, sentAtBootTime := time.Now(), twboottime.Now()
 	reply, err := c.config.Peers.Heartbeat(ctx, address, heartbeat)
-	if err == nil && c.config.TakeUses != nil {
-		c.config.TakeUses(reply.Incarnation, time.Duration(reply.UptimeMillis)*time.Millisecond, reply.Uses)
+	if err == nil && c.config.RecordUses != nil {
+		c.config.RecordUses(reply.Incarnation, time.Duration(reply.UptimeMillis)*time.Millisecond, reply.Uses)
 	}
-	if err == nil && c.config.TakeRates != nil {
-		c.config.TakeRates(reply.Rates)
+	if err == nil && c.config.ApplyRates != nil {
+		c.config.ApplyRates(reply.Rates)
 	}
-	if err == nil && c.config.TakeLeaving != nil {
-		c.config.TakeLeaving(reply.Leaving)
+	if err == nil && c.config.ApplyLeaving != nil {
+		c.config.ApplyLeaving(reply.Leaving)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +153,7 @@
 	m.live = false
 	c.config.Recorder.Record(turmericwall.EventPeerLost).Str("peer", m.Name).Str("incarnation", m.Incarnation).
 		Int("silentMillis", time.Since(m.answeredAt).Milliseconds()).Send()
-	if c.config.Gone != nil {
-		c.config.Gone(m.Incarnation)
+	if c.config.OnPeerLost != nil {
+		c.config.OnPeerLost(m.Incarnation)
 	}
 }
--- a/internal/membership/twcluster/members.go
+++ b/internal/membership/twcluster/members.go
@@ -24,9 +24,9 @@
 	pending bool
 }
 
-// Join adds another daemon's address, so that it gets heartbeats while this daemon is the leader. A new address gets
-// one at once.
-func (c *Cluster) Join(other turmericwall.Member) {
+// AddMember adds another daemon's address, so that it gets heartbeats while this daemon is the leader. A new address
+// gets one at once.
+func (c *Cluster) AddMember(other turmericwall.Member) {
 	c.mu.Lock()
 	known := c.add(other.Address)
 	c.mu.Unlock()
--- a/internal/membership/twcluster/proof_test.go
+++ b/internal/membership/twcluster/proof_test.go
@@ -51,10 +51,10 @@
 		Echo: turmericwall.Echo{Incarnation: "b1", BootTimeNanos: int64(twboottime.Now())},
 	}
 	heartbeat.PlanVersion = 1
-	b.cluster.Heard(heartbeat)
+	b.cluster.ApplyHeartbeat(heartbeat)
 	g.Expect(b.proof.AgeMillis(twboottime.Now())).To(BeEquivalentTo(-1))
 	heartbeat.PlanVersion = 0
-	b.cluster.Heard(heartbeat)
+	b.cluster.ApplyHeartbeat(heartbeat)
 	g.Expect(b.proof.AgeMillis(twboottime.Now())).To(BeNumerically("<", time.Second.Milliseconds()))
 }
 
@@ -70,7 +70,7 @@
 			Self:  turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"},
 			Proof: proof, Peers: recording{sent: sent},
 			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
-			Leading:  func() (int64, bool) { return 1, true },
+			IsLeader: func() (int64, bool) { return 1, true },
 			ReadAt:   func() time.Time { return time.Time{} }, LeaseVersion: none, UpstreamsPosition: none,
 			PlanVersion: func() int64 {
 				proof.Confirm(twboottime.Now())
@@ -84,7 +84,7 @@
 	leader := newReadingCluster()
 	go func() { ended <- leader.Run(ctx) }()
 	defer func() { stop(); <-ended }()
-	leader.Join(turmericwall.Member{Address: "b"})
+	leader.AddMember(turmericwall.Member{Address: "b"})
 	var first turmericwall.Heartbeat
 	g.Eventually(sent, "3s").Should(Receive(&first))
 	g.Expect(first.ProofAgeMillis).To(BeEquivalentTo(-1))
--- a/internal/membership/twcluster/standbys_test.go
+++ b/internal/membership/twcluster/standbys_test.go
@@ -45,7 +45,7 @@
 				d.setReadsOnlyInRole()
 				others = append(others, d)
 			}
-			g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(21))
+			g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(21))
 			a.disconnectStore()
 			for _, d := range others {
 				if d.cluster.StandbyRank() >= 0 || random.IntN(2) == 0 {
@@ -55,7 +55,7 @@
 			informed := func() int {
 				count := 0
 				for _, d := range others {
-					if d.cluster.Informed() {
+					if d.cluster.FollowsFreshLeader() {
 						count++
 					}
 				}
@@ -85,10 +85,10 @@
 	g := NewWithT(t)
 	s, n, a := startLeader(t, g)
 	b, c := start(t, s, n, "b"), start(t, s, n, "c")
-	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
-	g.Eventually(c.cluster.Informed, eventualTimeout).Should(BeTrue())
+	g.Eventually(b.cluster.FollowsFreshLeader, eventualTimeout).Should(BeTrue())
+	g.Eventually(c.cluster.FollowsFreshLeader, eventualTimeout).Should(BeTrue())
 	a.disconnectStore()
-	g.Consistently(c.cluster.Informed, "2s").Should(BeTrue())
+	g.Consistently(c.cluster.FollowsFreshLeader, "2s").Should(BeTrue())
 }
 
 // The leader cannot renew its lease while other daemons could. It must hand over; else no engine gets an order.
@@ -96,7 +96,7 @@
 	g := NewWithT(t)
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
+	g.Eventually(b.cluster.FollowsFreshLeader, eventualTimeout).Should(BeTrue())
 	a.disconnectStore()
 	s.refuse("a")
 	g.Eventually(leads(b), 2*eventualTimeout).Should(BeTrue())
@@ -114,7 +114,7 @@
 		daemons[name].setReadsOnlyInRole()
 	}
 	g.Eventually(standbys(daemons["f"]), eventualTimeout).ShouldNot(BeEmpty())
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(6))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(6))
 	for name, d := range daemons {
 		if name != "d" {
 			d.disconnectStore()
@@ -122,7 +122,7 @@
 	}
 	a.disconnectStore()
 	g.Eventually(func() bool { return slices.Contains(standbys(daemons["b"])(), "d") }, "4s").Should(BeTrue())
-	g.Eventually(daemons["b"].cluster.Informed, "1s").Should(BeTrue())
+	g.Eventually(daemons["b"].cluster.FollowsFreshLeader, "1s").Should(BeTrue())
 }
 
 // A standby must have the list of members before it takes the lease; else all daemons place calls locally until each
@@ -131,8 +131,8 @@
 	g := NewWithT(t)
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
-	a.cluster.Join(turmericwall.Member{Address: "late"})
+	g.Eventually(b.cluster.FollowsFreshLeader, eventualTimeout).Should(BeTrue())
+	a.cluster.AddMember(turmericwall.Member{Address: "late"})
 	g.Eventually(func() []string { _, list := b.cluster.Members(); return list }, "2s").
 		Should(ConsistOf("a", "b", "late"))
 }
@@ -165,23 +165,23 @@
 func TestRestartedLeaderTakesItsLeaseWhenPeerReportsIt(t *testing.T) {
 	g := NewWithT(t)
 	s, n, a := startLeader(t, g)
-	version := a.election.Version()
+	version := a.election.LeaseVersion()
 	a.stop()
 	n.setPartitioned("a", true)
 	election := twelection.New(twelection.Config{
-		Store: s, Self: turmericwall.Member{Name: "a", Address: "a", Incarnation: "a2"}, Apart: time.Second,
-		Recorder:    tweventlog.New(tweventlog.Config{Output: io.Discard}),
-		LeaderHeard: func() bool { return false }, Ready: func() bool { return true },
-		Seeks:    func() bool { return false },
-		Patience: func() time.Duration { return time.Hour },
+		Store: s, Self: turmericwall.Member{Name: "a", Address: "a", Incarnation: "a2"}, OrderGap: time.Second,
+		Recorder:           tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		FollowsFreshLeader: func() bool { return false }, IsReady: func() bool { return true },
+		IsCandidate:   func() bool { return false },
+		ElectionDelay: func() time.Duration { return time.Hour },
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- election.Run(ctx) }()
 	defer func() { stop(); <-ended }()
-	election.Restarted(version, turmericwall.Member{Name: "b", Address: "b", Incarnation: "b1"})
+	election.ReclaimLease(version, turmericwall.Member{Name: "b", Address: "b", Incarnation: "b1"})
 	g.Consistently(func() bool { _, ok := election.Holds(); return ok }, "300ms").
 		Should(BeFalse(), "another daemon holds the lease")
-	election.Restarted(version, turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"})
+	election.ReclaimLease(version, turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"})
 	g.Eventually(func() bool { _, ok := election.Holds(); return ok }, "1s").Should(BeTrue())
 }
--- a/internal/membership/twelection/election.go
+++ b/internal/membership/twelection/election.go
@@ -34,18 +34,18 @@
 	Store    Store
 	Self     turmericwall.Member
 	Recorder turmericwall.Recorder
-	// Apart is the least time between the last order of one holder and the first order of the next.
-	Apart time.Duration
-	// Patience is how long there must be no live leader before this daemon seeks the lease.
-	Patience func() time.Duration
-	// Seeks reports whether this daemon is a candidate; nil means always.
-	Seeks func() bool
-	// LeaderHeard reports whether another daemon is the live leader.
-	LeaderHeard func() bool
-	// Ready reports whether this daemon can be the leader. A leader that is not ready releases the lease.
-	Ready func() bool
-	// Elected is called without a lock when this daemon becomes the leader; it may be nil.
-	Elected func()
+	// OrderGap is the least time between the last order of one holder and the first order of the next.
+	OrderGap time.Duration
+	// ElectionDelay is how long there must be no live leader before this daemon seeks the lease.
+	ElectionDelay func() time.Duration
+	// IsCandidate reports whether this daemon is a candidate; nil means always.
+	IsCandidate func() bool
+	// FollowsFreshLeader reports whether another daemon leads and its state is fresh.
+	FollowsFreshLeader func() bool
+	// IsReady reports whether this daemon can be the leader. A leader that is not ready releases the lease.
+	IsReady func() bool
+	// OnElected is called without a lock when this daemon becomes the leader; it may be nil.
+	OnElected func()
 }
 
 // Election runs one daemon's part in the election. Its methods are safe for concurrent use.
@@ -61,7 +61,7 @@
 // New returns an election that has not read the lease yet.
 func New(config Config) *Election {
 	return &Election{
-		config: config, lease: twlease.New(twlease.Config{Self: config.Self, OrderGap: config.Apart}),
+		config: config, lease: twlease.New(twlease.Config{Self: config.Self, OrderGap: config.OrderGap}),
 		nominations: make(chan struct{}, 1),
 	}
 }
@@ -87,32 +87,32 @@
 	return e.lease.Expired(twboottime.Now())
 }
 
-// Holder returns the daemon that holds the lease as last seen.
-func (e *Election) Holder() turmericwall.Member {
+// LeaseHolder returns the daemon that holds the lease as last seen.
+func (e *Election) LeaseHolder() turmericwall.Member {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lease.Holder()
 }
 
-// Told records the version of the lease's row that its holder sent.
-func (e *Election) Told(version int64, holder turmericwall.Member) {
+// RecordLeaseVersion records the version of the lease's row that its holder sent.
+func (e *Election) RecordLeaseVersion(version int64, holder turmericwall.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lease.RecordVersion(twboottime.Now(), version, holder)
 }
 
-// Restarted applies the lease's row as a peer saw it. If the row names an earlier incarnation of this daemon, this
+// ReclaimLease applies the lease's row as a peer saw it. If the row names an earlier incarnation of this daemon, this
 // daemon takes the lease at once: any other daemon would have to wait for the takeover timeout of package twlease.
-func (e *Election) Restarted(version int64, holder turmericwall.Member) {
+func (e *Election) ReclaimLease(version int64, holder turmericwall.Member) {
 	if holder.Name != e.config.Self.Name || holder == e.config.Self {
 		return
 	}
-	e.Told(version, holder)
+	e.RecordLeaseVersion(version, holder)
 	e.Nominate()
 }
 
-// Version returns the version of the lease's row as last seen.
-func (e *Election) Version() int64 {
+// LeaseVersion returns the version of the lease's row as last seen.
+func (e *Election) LeaseVersion() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lease.Version()
@@ -150,7 +150,7 @@
 		}
 		now := twboottime.Now()
 		_, holds := e.Holds()
-		if holds && !e.config.Ready() {
+		if holds && !e.config.IsReady() {
 			e.release(ctx)
 			continue
 		}
@@ -162,14 +162,14 @@
 			e.writeRow(ctx)
 			continue
 		}
-		if e.config.LeaderHeard() && !nominated {
+		if e.config.FollowsFreshLeader() && !nominated {
 			leaderSeenAt = now
 			continue
 		}
-		if e.config.Seeks != nil && !e.config.Seeks() && !nominated {
+		if e.config.IsCandidate != nil && !e.config.IsCandidate() && !nominated {
 			continue
 		}
-		if (now.Sub(leaderSeenAt) < e.config.Patience() && !nominated) || !e.config.Ready() {
+		if (now.Sub(leaderSeenAt) < e.config.ElectionDelay() && !nominated) || !e.config.IsReady() {
 			continue
 		}
 		nextAt = now.Add(pollInterval)
@@ -244,7 +244,7 @@
 	e.config.Recorder.Record(turmericwall.EventLeaderChanged).Str("leader", holder.Name).
 		Int("term", term).Int("version", version).Send()
 	// Called without the lock, because the callback may call Holds.
-	if holds && e.config.Elected != nil {
-		e.config.Elected()
+	if holds && e.config.OnElected != nil {
+		e.config.OnElected()
 	}
 }
