--- a/internal/admission/twauthenticator/authenticator.go
+++ b/internal/admission/twauthenticator/authenticator.go
@@ -100,7 +100,7 @@
 	if wellFormed {
 		account, found = a.config.Routes.AccountOfKey(key)
 	}
-	admitted := found && a.config.Proof.Admits(now)
+	admitted := found && a.config.Proof.AdmitsListedKey(now)
 	switch {
 	case admitted:
 		return Credential{key: key, Account: account}, false, nil
@@ -109,7 +109,7 @@
 	case !wellFormed:
 		return Credential{}, false, turmericwall.NewProblem(turmericwall.KindUnauthorized, "the call carries no key",
 			"send one Authorization header of the form: Bearer KEY")
-	case !found && a.config.Proof.Denies(now):
+	case !found && a.config.Proof.DeniesUnlistedKey(now):
 		return Credential{}, true, turmericwall.NewProblem(turmericwall.KindUnauthorized,
 			"no client account has this key", "send the key of a client account")
 	default:
@@ -128,7 +128,7 @@
 		return turmericwall.NewProblem(turmericwall.KindUnauthorized, "the key was removed while the call waited",
 			"send another key of the client account")
 	}
-	if now := twboottime.Now(); !a.config.Proof.Admits(now) {
+	if now := twboottime.Now(); !a.config.Proof.AdmitsListedKey(now) {
 		return a.refuseUnproven(now)
 	}
 	return nil
--- a/internal/admission/twquota/rate_bound_test.go
+++ b/internal/admission/twquota/rate_bound_test.go
@@ -130,7 +130,7 @@
 	if d.admitter.Admit(context.Background(), upstream) != nil {
 		return false
 	}
-	d.rates.Take(upstream, turmericwall.UpstreamStatement{
+	d.rates.RecordAnswer(upstream, turmericwall.UpstreamStatement{
 		SentAt: d.now(), ReceivedAt: d.now(), PerSecond: stated,
 		RateStated: !math.IsInf(stated, 1), RateLifted: math.IsInf(stated, 1),
 	})
--- a/internal/admission/twquota/rate_fleet_test.go
+++ b/internal/admission/twquota/rate_fleet_test.go
@@ -177,8 +177,8 @@
 		}
 		rank++
 		d.lastHeartbeatAt, d.leader, d.rank, d.daemons, d.standbys = d.now(), leader.member(), rank, daemons, standbys
-		d.rates.TakeList(leader.rates.List())
-		leader.rates.TakeList(d.rates.Own())
+		d.rates.RecordPeerRates(leader.rates.ListForPeers())
+		leader.rates.RecordPeerRates(d.rates.ListReceived())
 		f.answeredAt[d.index] = f.now
 	}
 	for _, d := range f.daemons {
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -277,7 +277,7 @@
 
 // Grant answers a daemon's request for sends. The reply is declined if this daemon is not the rate coordinator.
 func (t *Throttle) Grant(request turmericwall.AdmitRequest) turmericwall.AdmitReply {
-	t.config.Rates.TakeList([]turmericwall.UpstreamRate{request.Rate})
+	t.config.Rates.RecordPeerRates([]turmericwall.UpstreamRate{request.Rate})
 	if !t.updateCoordinating() {
 		return turmericwall.AdmitReply{Declined: true}
 	}
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -39,7 +39,9 @@
 func newFollower(now *time.Time, p *fakePeers, backoffs *twbackoff.Backoffs) *twthrottle.Throttle {
 	clock := func() time.Time { return *now }
 	rates := twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: clock})
-	rates.Take(key, turmericwall.UpstreamStatement{SentAt: *now, ReceivedAt: *now, PerSecond: 2, RateStated: true})
+	rates.RecordAnswer(
+		key, turmericwall.UpstreamStatement{SentAt: *now, ReceivedAt: *now, PerSecond: 2, RateStated: true},
+	)
 	return twthrottle.New(twthrottle.Config{
 		Rates: rates, Backoffs: backoffs, Peers: p, Self: turmericwall.Member{Name: "self", Address: "s:1"}, Now: clock,
 		Leader:   func() (turmericwall.Member, bool, bool) { return leader, false, true },
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -222,7 +222,7 @@
 		},
 		view: twupstreams.New(twupstreams.Config{}), slack: 50,
 	}
-	s.proof = twproof.New(twproof.Config{MaxAge: time.Minute, Current: time.Minute})
+	s.proof = twproof.New(twproof.Config{MaxAge: time.Minute, UnlistedKeyMaxAge: time.Minute})
 	s.proof.Confirm(twboottime.Now())
 	s.log = &bytes.Buffer{}
 	routes := twroutes.New()
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -55,7 +55,7 @@
 					t.Fatalf("the proof has an age of %d ms", age)
 				}
 				quotas.TakeLevels(h.Leader.Incarnation, h.Levels)
-				rates.TakeList(h.Rates)
+				rates.RecordPeerRates(h.Rates)
 				return turmericwall.HeartbeatReply{}
 			},
 			State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -54,7 +54,7 @@
 	for i := range daemons {
 		name := fmt.Sprint("i-", i)
 		d := &daemon{name: name, version: 1, echoes: make(map[int]turmericwall.Echo)}
-		d.proof = twproof.New(twproof.Config{Incarnation: name, MaxAge: maxAge, Current: maxAge})
+		d.proof = twproof.New(twproof.Config{Incarnation: name, MaxAge: maxAge, UnlistedKeyMaxAge: maxAge})
 		d.proof.Confirm(m.now)
 		m.daemons = append(m.daemons, d)
 	}
@@ -125,7 +125,7 @@
 		return 0, false
 	}
 	for i, d := range m.daemons {
-		if d.version < 2 && d.proof.Admits(m.now) {
+		if d.version < 2 && d.proof.AdmitsListedKey(m.now) {
 			return i, true
 		}
 	}
@@ -226,7 +226,9 @@
 							m.fetch(i)
 						}
 						if m.now.Sub(max(connectedSince[i], leaderCurrentSince)) > time.Second {
-							g.Expect(d.proof.Admits(m.now)).To(BeTrue(), "daemon %d refuses at tick %d", i, tick)
+							g.Expect(
+								d.proof.AdmitsListedKey(m.now),
+							).To(BeTrue(), "daemon %d refuses at tick %d", i, tick)
 						}
 					}
 					_, found := m.findViolation()
--- a/internal/membership/twproof/proof.go
+++ b/internal/membership/twproof/proof.go
@@ -23,8 +23,8 @@
 	Incarnation string
 	// MaxAge is the age from which calls with keys are refused; 0 means no limit.
 	MaxAge time.Duration
-	// Current is the age below which a key that is not in the plan is certainly unknown.
-	Current time.Duration
+	// UnlistedKeyMaxAge is the age below which a key that is not in the plan is certainly unknown.
+	UnlistedKeyMaxAge time.Duration
 }
 
 // Proof is one daemon's proof: all changes that were acknowledged before its time are in the daemon's plan. It is
@@ -78,9 +78,9 @@
 	return int64((now.Sub(p.at) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Admits reports whether a key in the plan may be used: had it been removed longer than MaxAge ago, this daemon would
-// know.
-func (p *Proof) Admits(now twboottime.Moment) bool {
+// AdmitsListedKey reports whether a key in the plan may be used: had it been removed longer than MaxAge ago, this
+// daemon would know.
+func (p *Proof) AdmitsListedKey(now twboottime.Moment) bool {
 	if p.config.MaxAge <= 0 {
 		return true
 	}
@@ -89,12 +89,12 @@
 	return p.known && now.Sub(p.at) < p.config.MaxAge
 }
 
-// Denies reports whether a key that is not in the plan may be refused as unknown: no plan that must be in force by
-// now holds it.
-func (p *Proof) Denies(now twboottime.Moment) bool {
+// DeniesUnlistedKey reports whether a key that is not in the plan may be refused as unknown: no plan that must be in
+// force by now holds it.
+func (p *Proof) DeniesUnlistedKey(now twboottime.Moment) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known && now.Sub(p.at) < p.config.Current
+	return p.known && now.Sub(p.at) < p.config.UnlistedKeyMaxAge
 }
 
 // Covers reports whether the plan holds all changes that were acknowledged before the given time.
--- a/internal/membership/twproof/proof_test.go
+++ b/internal/membership/twproof/proof_test.go
@@ -17,29 +17,29 @@
 }
 
 func newProof() *twproof.Proof {
-	return twproof.New(twproof.Config{Incarnation: "i-1", MaxAge: 3 * time.Second, Current: 2 * time.Second})
+	return twproof.New(twproof.Config{Incarnation: "i-1", MaxAge: 3 * time.Second, UnlistedKeyMaxAge: 2 * time.Second})
 }
 
 func TestProofLimitsAtEachAge(t *testing.T) {
 	g := NewWithT(t)
 	p := newProof()
 	g.Expect(p.AgeMillis(at(50))).To(BeEquivalentTo(-1))
-	g.Expect(p.Admits(at(50))).To(BeFalse(), "nothing is confirmed at the start")
-	g.Expect(p.Denies(at(50))).To(BeFalse())
+	g.Expect(p.AdmitsListedKey(at(50))).To(BeFalse(), "nothing is confirmed at the start")
+	g.Expect(p.DeniesUnlistedKey(at(50))).To(BeFalse())
 	p.Confirm(at(1000))
 	p.Confirm(at(400))
 	g.Expect(p.AgeMillis(at(1300))).To(BeEquivalentTo(300), "an older confirmation changes nothing")
 	g.Expect(p.Covers(at(1000))).To(BeTrue())
 	g.Expect(p.Covers(at(1001))).To(BeFalse())
-	g.Expect(p.Denies(at(2999))).To(BeTrue())
-	g.Expect(p.Denies(at(3000))).To(BeFalse())
-	g.Expect(p.Admits(at(3999))).To(BeTrue())
-	g.Expect(p.Admits(at(4000))).To(BeFalse())
+	g.Expect(p.DeniesUnlistedKey(at(2999))).To(BeTrue())
+	g.Expect(p.DeniesUnlistedKey(at(3000))).To(BeFalse())
+	g.Expect(p.AdmitsListedKey(at(3999))).To(BeTrue())
+	g.Expect(p.AdmitsListedKey(at(4000))).To(BeFalse())
 }
 
 func TestWithoutMaxAgeEveryKeyOfThePlanIsAdmitted(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(twproof.New(twproof.Config{}).Admits(at(1))).To(BeTrue())
+	g.Expect(twproof.New(twproof.Config{}).AdmitsListedKey(at(1))).To(BeTrue())
 }
 
 func TestPeerWithoutProofConfirmsNothing(t *testing.T) {
@@ -55,7 +55,7 @@
 	p := newProof()
 	p.ConfirmEcho(at(9000), turmericwall.Echo{Incarnation: "i-1", BootTimeNanos: int64(at(1000))}, 200)
 	g.Expect(p.AgeMillis(at(9000))).To(BeEquivalentTo(8200))
-	g.Expect(p.Admits(at(9000))).To(BeFalse())
+	g.Expect(p.AdmitsListedKey(at(9000))).To(BeFalse())
 }
 
 // Guards against an echo from an earlier process, or from before a restart of the VM, that counts for this process.
--- a/internal/membership/twrates/rates.go
+++ b/internal/membership/twrates/rates.go
@@ -58,8 +58,8 @@
 	return &Rates{config: config, statements: make(map[turmericwall.UpstreamKey]*statement)}
 }
 
-// Take records what an answer to this daemon states.
-func (r *Rates) Take(from turmericwall.UpstreamKey, s turmericwall.UpstreamStatement) {
+// RecordAnswer records what an answer to this daemon states.
+func (r *Rates) RecordAnswer(from turmericwall.UpstreamKey, s turmericwall.UpstreamStatement) {
 	if !s.RateStated && !s.RateLifted {
 		return
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// TakeList records the statements that a peer sent.
-func (r *Rates) TakeList(list []turmericwall.UpstreamRate) {
+// RecordPeerRates records the statements that a peer sent.
+func (r *Rates) RecordPeerRates(list []turmericwall.UpstreamRate) {
 	if len(list) == 0 {
 		return
 	}
@@ -160,13 +160,13 @@
 	}
 }
 
-// List returns what the leader sends to all daemons: the rates in force, and those lifted within shareDuration.
-func (r *Rates) List() []turmericwall.UpstreamRate {
+// ListForPeers returns what the leader sends to all daemons: the rates in force, and those lifted within shareDuration.
+func (r *Rates) ListForPeers() []turmericwall.UpstreamRate {
 	return r.list(func(s *statement, now time.Time) bool { return !s.lifted || now.Sub(s.statedAt) < shareDuration })
 }
 
-// Own returns what this daemon received from upstreams itself within shareDuration, for the leader.
-func (r *Rates) Own() []turmericwall.UpstreamRate {
+// ListReceived returns what this daemon received from upstreams itself within shareDuration, for the leader.
+func (r *Rates) ListReceived() []turmericwall.UpstreamRate {
 	return r.list(func(s *statement, now time.Time) bool {
 		return !s.receivedAt.IsZero() && now.Sub(s.receivedAt) < shareDuration
 	})
@@ -187,8 +187,8 @@
 	return list
 }
 
-// Forget removes the upstreams that are not known any more and stated nothing within statementRetention.
-func (r *Rates) Forget(known func(turmericwall.UpstreamKey) bool) {
+// RemoveUnknown removes the upstreams that are not known any more and stated nothing within statementRetention.
+func (r *Rates) RemoveUnknown(known func(turmericwall.UpstreamKey) bool) {
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/membership/twrates/rates_test.go
+++ b/internal/membership/twrates/rates_test.go
@@ -57,7 +57,7 @@
 			now := at(100)
 			r := newRates(&now, &bytes.Buffer{})
 			for _, a := range c.answers {
-				r.Take(key, a)
+				r.RecordAnswer(key, a)
 			}
 			rate, limited := r.Rate(key)
 			g.Expect(limited).To(Equal(c.limited))
@@ -70,37 +70,37 @@
 	g := NewWithT(t)
 	now := at(100)
 	leader, other := newRates(&now, &bytes.Buffer{}), newRates(&now, &bytes.Buffer{})
-	other.Take(key, answer(20, 3))
-	leader.TakeList(other.Own())
+	other.RecordAnswer(key, answer(20, 3))
+	leader.RecordPeerRates(other.ListReceived())
 	rate, limited := leader.Rate(key)
 	g.Expect(limited).To(BeTrue())
 	g.Expect(rate).To(Equal(3.0))
 	now = at(300)
-	leader.Take(key, answer(200, -1))
-	other.TakeList(leader.List())
+	leader.RecordAnswer(key, answer(200, -1))
+	other.RecordPeerRates(leader.ListForPeers())
 	_, limited = other.Rate(key)
 	g.Expect(limited).To(BeFalse())
-	leader.TakeList(other.Own())
+	leader.RecordPeerRates(other.ListReceived())
 	_, limited = leader.Rate(key)
 	g.Expect(limited).To(BeFalse())
 	now = at(20_000)
-	g.Expect(other.Own()).To(BeEmpty())
-	g.Expect(leader.List()).To(BeEmpty())
+	g.Expect(other.ListReceived()).To(BeEmpty())
+	g.Expect(leader.ListForPeers()).To(BeEmpty())
 }
 
 func TestRestartedUpstreamHasNoRate(t *testing.T) {
 	g := NewWithT(t)
 	now := at(100)
 	r := newRates(&now, &bytes.Buffer{})
-	r.Take(key, answer(20, 3))
+	r.RecordAnswer(key, answer(20, 3))
 	_, limited := r.Rate(turmericwall.UpstreamKey{ID: "a", StartedMillis: 2})
 	g.Expect(limited).To(BeFalse())
 	unknown := func(turmericwall.UpstreamKey) bool { return false }
-	r.Forget(unknown)
+	r.RemoveUnknown(unknown)
 	_, limited = r.Rate(key)
 	g.Expect(limited).To(BeTrue(), "its entry may have lapsed and be listed again")
 	now = at(70_000)
-	r.Forget(unknown)
+	r.RemoveUnknown(unknown)
 	_, limited = r.Rate(key)
 	g.Expect(limited).To(BeFalse())
 }
@@ -111,9 +111,9 @@
 	log := &bytes.Buffer{}
 	r := newRates(&now, log)
 	for i := range 5 {
-		r.Take(key, answer(20*i, 3))
+		r.RecordAnswer(key, answer(20*i, 3))
 	}
-	r.Take(key, answer(200, -1))
+	r.RecordAnswer(key, answer(200, -1))
 	g.Expect(bytes.Count(log.Bytes(), []byte("\n"))).To(Equal(2))
 }
 
--- a/internal/membership/twsource/source.go
+++ b/internal/membership/twsource/source.go
@@ -78,22 +78,22 @@
 // New returns the source of a daemon that has no state yet.
 func New(config Config) *Source { return &Source{config: config} }
 
-// Fresh reports whether the daemon's state is new enough to act on.
-func (s *Source) Fresh(now time.Time, o Observation) bool {
+// IsFresh reports whether the daemon's state is new enough to act on.
+func (s *Source) IsFresh(now time.Time, o Observation) bool {
 	return !o.FreshAt.IsZero() && now.Sub(o.FreshAt) < s.config.Staleness
 }
 
-// Reads reports whether this daemon has to read the store now.
+// ShouldRead reports whether this daemon has to read the store now.
 //
 // The leader reads for all daemons, and its standbys read when it cannot. The others read only without a live leader
 // and after peers brought nothing: reads of all daemons at once would load a store that already fails.
-func (s *Source) Reads(now time.Time, o Observation) bool {
+func (s *Source) ShouldRead(now time.Time, o Observation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o.Leader || now.Before(s.readUntil) || (o.Standby && s.mustStandbyRead(now, o)) {
 		return true
 	}
-	if o.LeaderLive || s.Fresh(now, o) {
+	if o.LeaderLive || s.IsFresh(now, o) {
 		s.nextReadAt = time.Time{}
 		return false
 	}
@@ -142,8 +142,8 @@
 	return time.Duration(-math.Log(1-s.config.Random()) * float64(mean))
 }
 
-// Read records the outcome of a read of the store. After an error the daemon stops reading until the next retry.
-func (s *Source) Read(err error) {
+// RecordRead records the outcome of a read of the store. After an error the daemon stops reading until the next retry.
+func (s *Source) RecordRead(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -151,8 +151,9 @@
 	}
 }
 
-// Asks reports whether this daemon, which has no live leader, has to query a peer for its state and its leader now.
-func (s *Source) Asks(now time.Time, o Observation) bool {
+// ShouldQueryPeer reports whether this daemon, which has no live leader, has to query a peer for its state and its
+// leader now.
+func (s *Source) ShouldQueryPeer(now time.Time, o Observation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o.LeaderLive {
@@ -170,8 +171,9 @@
 	return true
 }
 
-// Asked records the outcome of a query to a peer. It was useful if the peer named a live leader or had newer state.
-func (s *Source) Asked(useful bool) {
+// RecordQuery records the outcome of a query to a peer. It was useful if the peer named a live leader or had newer
+// state.
+func (s *Source) RecordQuery(useful bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if useful {
--- a/internal/membership/twsource/source_test.go
+++ b/internal/membership/twsource/source_test.go
@@ -42,19 +42,19 @@
 	for now := from; now.Before(until); now = now.Add(step) {
 		for i, s := range f.sources {
 			o := f.observe(i, now)
-			if f.peerIsUseful != nil && s.Asks(now, o) {
-				s.Asked(f.peerIsUseful(i))
+			if f.peerIsUseful != nil && s.ShouldQueryPeer(now, o) {
+				s.RecordQuery(f.peerIsUseful(i))
 			}
-			if !s.Reads(now, o) || now.Before(busyUntil[i]) {
+			if !s.ShouldRead(now, o) || now.Before(busyUntil[i]) {
 				continue
 			}
 			reads++
 			read[i] = true
 			if f.readable(i, now) {
-				s.Read(nil)
+				s.RecordRead(nil)
 				busyUntil[i] = now.Add(400 * time.Millisecond)
 			} else {
-				s.Read(errors.New("no reply from the store"))
+				s.RecordRead(errors.New("no reply from the store"))
 			}
 		}
 	}
@@ -165,10 +165,10 @@
 	s := newSource(false, returnHalf)
 	lostAt := start.Add(time.Minute)
 	o := twsource.Observation{Standby: true, LeaderLive: true, FreshAt: lostAt, Daemons: 295}
-	g.Expect(s.Reads(lostAt.Add(500*time.Millisecond), o)).To(BeFalse(), "the leader reads for all daemons")
-	g.Expect(s.Reads(lostAt.Add(1000*time.Millisecond), o)).To(BeTrue())
+	g.Expect(s.ShouldRead(lostAt.Add(500*time.Millisecond), o)).To(BeFalse(), "the leader reads for all daemons")
+	g.Expect(s.ShouldRead(lostAt.Add(1000*time.Millisecond), o)).To(BeTrue())
 	o.LeaderLive = false
-	g.Expect(s.Reads(lostAt.Add(200*time.Millisecond), o)).To(BeTrue(), "it may have to take the lease")
+	g.Expect(s.ShouldRead(lostAt.Add(200*time.Millisecond), o)).To(BeTrue(), "it may have to take the lease")
 }
 
 // Guards against a daemon without a leader that queries its peers without a pause.
@@ -178,11 +178,11 @@
 	queries := 0
 	o := twsource.Observation{FreshAt: start}
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(step) {
-		if s.Asks(now, o) {
+		if s.ShouldQueryPeer(now, o) {
 			queries++
 		}
 	}
 	g.Expect(queries).To(BeNumerically("~", 9, 2))
 	o.LeaderLive = true
-	g.Expect(s.Asks(start.Add(time.Hour), o)).To(BeFalse())
+	g.Expect(s.ShouldQueryPeer(start.Add(time.Hour), o)).To(BeFalse())
 }
