--- a/internal/delivery/twrelay/announced_test.go
+++ b/internal/delivery/twrelay/announced_test.go
@@ -12,7 +12,7 @@
 
 // announceLeaving marks an upstream as leaving, as the adapter does when an answer announces it.
 func (s *fixture) announceLeaving(id string) {
-	s.view.Announced(time.Now(), turmericwall.UpstreamKey{ID: id})
+	s.view.RecordAnnouncement(time.Now(), turmericwall.UpstreamKey{ID: id})
 }
 
 // Guards against sends of any kind to an upstream that announced in an answer that it leaves.
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -253,7 +253,7 @@
 		},
 		Limits: turmericwall.CallerLimits{MaxBodyBytes: 1000},
 	})
-	s.view.List(time.Now(), 1, []turmericwall.Upstream{
+	s.view.ApplyListing(time.Now(), 1, []turmericwall.Upstream{
 		{ID: "a", Service: "plain", Slots: 4},
 		{ID: "b", Service: "plain", Slots: 4},
 		{ID: "c", Service: "plain", Slots: 4},
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -111,7 +111,7 @@
 
 // checkAcceptsCalls returns an error when the engine has started to leave or to back off since the call was admitted.
 func (r *Relay) checkAcceptsCalls(engine turmericwall.Upstream) error {
-	if !r.config.View.Takes(engine.Key()) {
+	if !r.config.View.AcceptsCalls(engine.Key()) {
 		return errLeaving
 	}
 	if !r.config.Throttle.BackoffUntil(engine.Key()).IsZero() {
--- a/internal/delivery/twrelay/move.go
+++ b/internal/delivery/twrelay/move.go
@@ -48,7 +48,7 @@
 		s.checkRefusedMove()
 		return
 	}
-	if s.relay.config.View.Takes(s.engine.Key()) {
+	if s.relay.config.View.AcceptsCalls(s.engine.Key()) {
 		return
 	}
 	if s.attempt.moves >= maxMoves || time.Now().Before(s.nextMoveAt) {
--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -161,9 +161,9 @@
 	return e.tracker.Snapshot(e.clock.Now()).GetBeats()
 }
 
-// Meet exchanges heartbeats with all known addresses, for a daemon that starts while the platform is unavailable. It
-// returns how many peers answered.
-func (e *Exchange) Meet(ctx context.Context) int {
+// ExchangeWithAll exchanges heartbeats with all known addresses, for a daemon that starts while the platform is
+// unavailable. It returns how many peers answered.
+func (e *Exchange) ExchangeWithAll(ctx context.Context) int {
 	answered := 0
 	for _, address := range e.addresses() {
 		if e.exchangeWith(ctx, address) == nil {
@@ -274,7 +274,7 @@
 // platform is unavailable could otherwise reach no upstream.
 func (e *Exchange) fetchVMs(ctx context.Context) {
 	members := e.Members()[1:]
-	if e.fleet.Known() || len(members) == 0 {
+	if e.fleet.HasList() || len(members) == 0 {
 		return
 	}
 	address := members[rand.IntN(len(members))].GetAddress()
--- a/internal/membership/twfleet/fleet.go
+++ b/internal/membership/twfleet/fleet.go
@@ -75,8 +75,8 @@
 	return upstreams
 }
 
-// Known reports whether a list was read, by this daemon or by a peer.
-func (f *Fleet) Known() bool {
+// HasList reports whether a list was read, by this daemon or by a peer.
+func (f *Fleet) HasList() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.known
@@ -95,7 +95,7 @@
 
 // ApplyPeerList applies a peer's list while this daemon has none of its own.
 func (f *Fleet) ApplyPeerList(list []turmericwall.VM) {
-	if !f.Known() {
+	if !f.HasList() {
 		f.applyList(list)
 	}
 }
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -48,7 +48,7 @@
 			Daemons: func() int { return 1 }, Absent: func() int { return 0 }, Now: time.Now,
 		})
 		server := twpeerhttp.NewServer(twpeerhttp.Config{
-			Heard: func(h turmericwall.Heartbeat) turmericwall.HeartbeatReply {
+			ApplyHeartbeat: func(h turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 				now := twboottime.Now()
 				proof.ConfirmEcho(now, h.Echo, h.ProofAgeMillis)
 				if age := proof.AgeMillis(now); age < -1 {
@@ -67,7 +67,7 @@
 				}
 				return turmericwall.SharedState{}
 			},
-			Keeps: func() bool { return true },
+			IsLeader: func() bool { return true },
 			Place: func(_ context.Context, ask turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 				return turmericwall.Placement{ID: ask.ID}, quotas.Charge(ask.Account, ask.Units)
 			},
@@ -78,7 +78,7 @@
 				}
 				return reply
 			},
-			Finish: func(turmericwall.PlacementUpdate) {}, Adopt: func(turmericwall.PlacedCall) {},
+			Finish: func(turmericwall.PlacementUpdate) {}, AdoptPlacedCall: func(turmericwall.PlacedCall) {},
 		})
 		request := httptest.NewRequest(http.MethodPost, "/peer/heartbeat", bytes.NewReader(body))
 		request.URL.Path = path
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -39,7 +39,7 @@
 	g := NewWithT(t)
 	want := placeRequest()
 	address := serve(t, twpeerhttp.Config{
-		Keeps: func() bool { return true },
+		IsLeader: func() bool { return true },
 		Place: func(_ context.Context, got turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 			g.Expect(got.TargetDeadline).To(BeTemporally("~", want.TargetDeadline, 200*time.Millisecond))
 			g.Expect(got.CallerDeadline).To(BeTemporally("~", want.CallerDeadline, 200*time.Millisecond))
@@ -61,7 +61,7 @@
 func TestRefusalKeepsRetryTime(t *testing.T) {
 	g := NewWithT(t)
 	address := serve(t, twpeerhttp.Config{
-		Keeps: func() bool { return true },
+		IsLeader: func() bool { return true },
 		Place: func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 			return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{
 				Reason: "full", RetryAt: time.Now().Add(2 * time.Second),
@@ -78,7 +78,7 @@
 // ends of placements, so its reservations would never be released.
 func TestOnlyLeaderPlacesCalls(t *testing.T) {
 	g := NewWithT(t)
-	address := serve(t, twpeerhttp.Config{Keeps: func() bool { return false }})
+	address := serve(t, twpeerhttp.Config{IsLeader: func() bool { return false }})
 	_, err := twpeerhttp.NewClient().Place(context.Background(), address, placeRequest())
 	g.Expect(err).To(MatchError(ContainSubstring("421")))
 }
@@ -94,7 +94,7 @@
 		Plan: &turmericwall.RoutePlan{Version: 4}, Upstreams: []turmericwall.Upstream{{ID: "u"}}, UpstreamsPosition: 9,
 	}
 	address := serve(t, twpeerhttp.Config{
-		Heard: func(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
+		ApplyHeartbeat: func(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 			g.Expect(heartbeat.Term).To(BeEquivalentTo(3))
 			g.Expect(heartbeat.Changing).
 				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, RemainingMillis: 70}}))
@@ -104,8 +104,8 @@
 			g.Expect(ask.UpstreamsPosition).To(BeEquivalentTo(8))
 			return state
 		},
-		Finish: func(end turmericwall.PlacementUpdate) { ended = append(ended, end) },
-		Adopt:  func(run turmericwall.PlacedCall) { adopted = append(adopted, run) },
+		Finish:          func(end turmericwall.PlacementUpdate) { ended = append(ended, end) },
+		AdoptPlacedCall: func(run turmericwall.PlacedCall) { adopted = append(adopted, run) },
 	})
 	c, ctx := twpeerhttp.NewClient(), context.Background()
 	g.Expect(c.SendUpdates(ctx, address, []turmericwall.PlacementUpdate{
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -21,13 +21,13 @@
 
 // Config holds the functions that answer the calls. Keeps reports whether this daemon may place calls as the leader.
 type Config struct {
-	Heard  func(turmericwall.Heartbeat) turmericwall.HeartbeatReply
-	State  func(turmericwall.StateRequest) turmericwall.SharedState
-	Keeps  func() bool
-	Place  func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error)
-	Finish func(turmericwall.PlacementUpdate)
-	Adopt  func(turmericwall.PlacedCall)
-	Admit  func(turmericwall.AdmitRequest) turmericwall.AdmitReply
+	ApplyHeartbeat  func(turmericwall.Heartbeat) turmericwall.HeartbeatReply
+	State           func(turmericwall.StateRequest) turmericwall.SharedState
+	IsLeader        func() bool
+	Place           func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error)
+	Finish          func(turmericwall.PlacementUpdate)
+	AdoptPlacedCall func(turmericwall.PlacedCall)
+	Admit           func(turmericwall.AdmitRequest) turmericwall.AdmitReply
 }
 
 // Server is the HTTP handler of the calls from peers.
@@ -63,7 +63,7 @@
 func (s *Server) heartbeat(w http.ResponseWriter, request *http.Request) {
 	var heartbeat turmericwall.Heartbeat
 	if readJSON(w, request, &heartbeat) {
-		writeJSON(w, s.config.Heard(heartbeat))
+		writeJSON(w, s.config.ApplyHeartbeat(heartbeat))
 	}
 }
 
@@ -142,7 +142,7 @@
 	if !readJSON(w, request, &ask) {
 		return
 	}
-	if !s.config.Keeps() {
+	if !s.config.IsLeader() {
 		http.Error(w, "this daemon is not the leader; wait for the next heartbeat", http.StatusMisdirectedRequest)
 		return
 	}
@@ -181,7 +181,7 @@
 	}
 	now := time.Now()
 	for _, r := range runs {
-		s.config.Adopt(turmericwall.PlacedCall{
+		s.config.AdoptPlacedCall(turmericwall.PlacedCall{
 			Request: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis,
 		})
 	}
--- a/internal/membership/twseeker/seeker.go
+++ b/internal/membership/twseeker/seeker.go
@@ -18,18 +18,18 @@
 type Config struct {
 	// Self is this daemon's own address, which is never queried.
 	Self string
-	// Due reports whether a peer has to be queried now.
-	Due func() bool
+	// ShouldQuery reports whether a peer has to be queried now.
+	ShouldQuery func() bool
 	// Standbys, Seeds and Holder return the peers that may know the leader: the standbys in the last heartbeat, the
 	// addresses in the settings, and the lease's holder as last seen.
 	Standbys func() []turmericwall.Member
 	Seeds    func() []string
 	Holder   func() turmericwall.Member
-	// Learn fetches a peer's state and announces this daemon to it. newer reports whether the peer had newer state
+	// FetchState fetches a peer's state and announces this daemon to it. newer reports whether the peer had newer state
 	// than this daemon.
-	Learn func(ctx context.Context, address string) (leader turmericwall.Member, newer bool, err error)
-	// Asked is called after each query. useful reports whether the query led to the leader or brought newer state.
-	Asked func(useful bool)
+	FetchState func(ctx context.Context, address string) (leader turmericwall.Member, newer bool, err error)
+	// OnQueried is called after each query. useful reports whether the query led to the leader or brought newer state.
+	OnQueried func(useful bool)
 }
 
 // Seeker queries one peer at a time.
@@ -51,8 +51,8 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if s.config.Due() {
-			s.config.Asked(s.queryNext(ctx))
+		if s.config.ShouldQuery() {
+			s.config.OnQueried(s.queryNext(ctx))
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	}
 	s.next++
 	peer := peers[s.next%len(peers)]
-	leader, newer, err := s.config.Learn(ctx, peer)
+	leader, newer, err := s.config.FetchState(ctx, peer)
 	switch {
 	case err != nil:
 		return false
@@ -74,7 +74,7 @@
 	case leader.Address == "" || leader.Address == s.config.Self:
 		return newer
 	}
-	_, _, err = s.config.Learn(ctx, leader.Address)
+	_, _, err = s.config.FetchState(ctx, leader.Address)
 	return err == nil
 }
 
--- a/internal/membership/twseeker/seeker_test.go
+++ b/internal/membership/twseeker/seeker_test.go
@@ -59,7 +59,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	s := twseeker.New(twseeker.Config{
-		Self: "self", Due: func() bool { return true }, Learn: p.fetchState, Asked: p.recordOutcome,
+		Self: "self", ShouldQuery: func() bool { return true }, FetchState: p.fetchState, OnQueried: p.recordOutcome,
 		Standbys: func() []turmericwall.Member { return standbys },
 		Seeds:    func() []string { return seeds },
 		Holder:   func() turmericwall.Member { return turmericwall.Member{Address: holder} },
--- a/internal/membership/twserver/server.go
+++ b/internal/membership/twserver/server.go
@@ -79,7 +79,7 @@
 
 // FetchVMs returns the last list of VMs that this daemon has, or the code NotFound while it has none.
 func (s *Server) FetchVMs(context.Context, *twpeer.FetchVMsRequest) (*twpeer.FetchVMsReply, error) {
-	if !s.config.Fleet.Known() {
+	if !s.config.Fleet.HasList() {
 		return nil, status.Error(codes.NotFound, "this daemon has no list of VMs yet; ask another peer")
 	}
 	return twpeer.EncodeVMs(s.config.Fleet.All()), nil
--- a/internal/membership/twupstreamfeed/follower.go
+++ b/internal/membership/twupstreamfeed/follower.go
@@ -33,7 +33,7 @@
 			list = append(list, upstream)
 		}
 	}
-	f.config.View.List(now, snapshot.Version, list)
+	f.config.View.ApplyListing(now, snapshot.Version, list)
 	f.notifyChanged()
 }
 
--- a/internal/membership/twupstreams/view.go
+++ b/internal/membership/twupstreams/view.go
@@ -110,8 +110,9 @@
 	}
 }
 
-// List replaces the whole view by a listing at the registry's version. A listing older than the view is ignored.
-func (v *View) List(now time.Time, version int64, upstreams []turmericwall.Upstream) {
+// ApplyListing replaces the whole view by a listing at the registry's version. A listing older than the view is
+// ignored.
+func (v *View) ApplyListing(now time.Time, version int64, upstreams []turmericwall.Upstream) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.listed && version < v.position/positionsPerVersion {
@@ -152,8 +153,8 @@
 	v.rebuildServices()
 }
 
-// Sweep removes the entries that are still missing after reregistrationSpan, and expired announcements.
-func (v *View) Sweep(now time.Time) {
+// RemoveMissing removes the entries that are still missing after reregistrationSpan, and expired announcements.
+func (v *View) RemoveMissing(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.expireAnnounced(now)
@@ -178,9 +179,9 @@
 	v.rebuildServices()
 }
 
-// Since returns what changed after the position, and the view's position; ok is false when these changes are no
+// ChangesSince returns what changed after the position, and the view's position; ok is false when these changes are no
 // longer kept.
-func (v *View) Since(position int64) (put []turmericwall.Upstream, removed []string, now int64, ok bool) {
+func (v *View) ChangesSince(position int64) (put []turmericwall.Upstream, removed []string, now int64, ok bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	if position < v.historyStart {
@@ -201,8 +202,8 @@
 	return put, removed, v.position, true
 }
 
-// Follow applies changes of a peer's view. The peer has decided itself which upstreams are removed.
-func (v *View) Follow(position int64, put []turmericwall.Upstream, removed []string) {
+// ApplyPeerChanges applies changes of a peer's view. The peer has decided itself which upstreams are removed.
+func (v *View) ApplyPeerChanges(position int64, put []turmericwall.Upstream, removed []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if position <= v.position {
@@ -220,8 +221,8 @@
 	v.rebuildServices()
 }
 
-// FollowAll replaces the view by a peer's whole view. The peer has decided itself which upstreams are removed.
-func (v *View) FollowAll(position int64, upstreams []turmericwall.Upstream) {
+// ApplyPeerView replaces the view by a peer's whole view. The peer has decided itself which upstreams are removed.
+func (v *View) ApplyPeerView(position int64, upstreams []turmericwall.Upstream) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.listed && position < v.position {
@@ -238,8 +239,8 @@
 	v.rebuildServices()
 }
 
-// Known reports whether a listing was applied.
-func (v *View) Known() bool {
+// HasListing reports whether a listing was applied.
+func (v *View) HasListing() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.listed
@@ -259,9 +260,9 @@
 	return v.position
 }
 
-// Announced records that an incarnation announced in an answer that it leaves, and marks it as leaving. first reports
-// whether this was not known. The position stays the same: followers count it by the registry's changes alone.
-func (v *View) Announced(now time.Time, key turmericwall.UpstreamKey) (first bool) {
+// RecordAnnouncement records that an incarnation announced in an answer that it leaves, and marks it as leaving. first
+// reports whether this was not known. The position stays the same: followers count it by the registry's changes alone.
+func (v *View) RecordAnnouncement(now time.Time, key turmericwall.UpstreamKey) (first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, known := v.announced[key]; known {
@@ -275,9 +276,9 @@
 	return true
 }
 
-// AllAnnounced returns the known incarnations that announced in an answer that they leave and that the registry does
-// not list as leaving yet.
-func (v *View) AllAnnounced() []turmericwall.UpstreamKey {
+// AnnouncedLeaving returns the known incarnations that announced in an answer that they leave and that the registry
+// does not list as leaving yet.
+func (v *View) AnnouncedLeaving() []turmericwall.UpstreamKey {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var list []turmericwall.UpstreamKey
@@ -318,12 +319,13 @@
 
 // All returns all upstreams, ordered by id. The slice is shared; callers must not change it.
 func (v *View) All() []turmericwall.Upstream {
-	_, all := v.Whole()
+	_, all := v.Snapshot()
 	return all
 }
 
-// Whole returns the position and all upstreams at it, ordered by id. The slice is shared; callers must not change it.
-func (v *View) Whole() (position int64, all []turmericwall.Upstream) {
+// Snapshot returns the position and all upstreams at it, ordered by id. The slice is shared; callers must not change
+// it.
+func (v *View) Snapshot() (position int64, all []turmericwall.Upstream) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.all == nil {
@@ -336,16 +338,16 @@
 	return v.position, v.all
 }
 
-// Takes reports whether the incarnation is known and accepts new calls.
-func (v *View) Takes(key turmericwall.UpstreamKey) bool {
+// AcceptsCalls reports whether the incarnation is known and accepts new calls.
+func (v *View) AcceptsCalls(key turmericwall.UpstreamKey) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	e, ok := v.entries[key.ID]
 	return ok && e.upstream.Key() == key && !e.upstream.Leaving
 }
 
-// Has reports whether the incarnation is known, leaving or not.
-func (v *View) Has(key turmericwall.UpstreamKey) bool {
+// Contains reports whether the incarnation is known, leaving or not.
+func (v *View) Contains(key turmericwall.UpstreamKey) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	e, ok := v.entries[key.ID]
--- a/internal/membership/twupstreams/view_test.go
+++ b/internal/membership/twupstreams/view_test.go
@@ -27,10 +27,10 @@
 func TestRemovedUpstreamIsNotListed(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	v.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
+	v.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
 	v.Remove(start, 6, "a")
 	g.Expect(ids(v)).To(Equal([]string{"b"}))
-	g.Expect(v.Takes(upstream("a", false).Key())).To(BeFalse())
+	g.Expect(v.AcceptsCalls(upstream("a", false).Key())).To(BeFalse())
 }
 
 // The store is unavailable and all upstreams' entries lapse, though the upstreams run. After the outage listings are
@@ -38,14 +38,14 @@
 func TestEntriesMissingAfterOutageAreKeptUntilReregistration(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	v.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
+	v.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
 	v.MarkUnavailable()
 	v.MarkAvailable(start, start.Add(-5*time.Second))
-	v.List(start, 9, nil)
-	v.Sweep(start.Add(1900 * time.Millisecond))
+	v.ApplyListing(start, 9, nil)
+	v.RemoveMissing(start.Add(1900 * time.Millisecond))
 	g.Expect(ids(v)).To(Equal([]string{"a", "b"}))
 	v.Put(10, upstream("b", false))
-	v.Sweep(start.Add(2100 * time.Millisecond))
+	v.RemoveMissing(start.Add(2100 * time.Millisecond))
 	g.Expect(ids(v)).To(Equal([]string{"b"}))
 }
 
@@ -54,10 +54,10 @@
 func TestOlderListingIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	v.List(start, 5, []turmericwall.Upstream{upstream("a", false)})
+	v.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false)})
 	v.Put(8, upstream("a", true))
-	v.List(start, 6, []turmericwall.Upstream{upstream("a", false)})
-	g.Expect(v.Takes(upstream("a", false).Key())).To(BeFalse())
+	v.ApplyListing(start, 6, []turmericwall.Upstream{upstream("a", false)})
+	g.Expect(v.AcceptsCalls(upstream("a", false).Key())).To(BeFalse())
 	g.Expect(v.Version()).To(BeEquivalentTo(8))
 }
 
@@ -70,34 +70,34 @@
 	restarted := upstream("a", false)
 	restarted.StartedMillis = 6
 	v.Put(2, restarted)
-	g.Expect(v.Takes(upstream("a", false).Key())).To(BeFalse())
-	g.Expect(v.Takes(restarted.Key())).To(BeTrue())
+	g.Expect(v.AcceptsCalls(upstream("a", false).Key())).To(BeFalse())
+	g.Expect(v.AcceptsCalls(restarted.Key())).To(BeTrue())
 }
 
 func TestFollowersGetChanges(t *testing.T) {
 	g := NewWithT(t)
 	leader, follower := twupstreams.New(twupstreams.Config{LapseMillis: 1800}), twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	leader.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
+	leader.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
 	listedPosition := leader.Position()
-	_, _, _, ok := leader.Since(listedPosition - 1)
+	_, _, _, ok := leader.ChangesSince(listedPosition - 1)
 	g.Expect(ok).To(BeFalse(), "changes before the listing are not kept")
-	follower.FollowAll(listedPosition, leader.All())
+	follower.ApplyPeerView(listedPosition, leader.All())
 	leader.Put(7, upstream("a", true))
 	leader.Remove(start, 8, "b")
 	leader.Put(9, upstream("c", false))
-	put, removed, position, ok := leader.Since(listedPosition)
+	put, removed, position, ok := leader.ChangesSince(listedPosition)
 	g.Expect([]any{put, removed, position, ok}).To(Equal([]any{
 		[]turmericwall.Upstream{upstream("a", true), upstream("c", false)}, []string{"b"}, leader.Position(), true,
 	}))
-	follower.Follow(position, put, removed)
+	follower.ApplyPeerChanges(position, put, removed)
 	g.Expect(follower.All()).To(Equal(leader.All()))
 	g.Expect(follower.Version()).To(BeEquivalentTo(9))
-	put, removed, _, ok = leader.Since(position)
+	put, removed, _, ok = leader.ChangesSince(position)
 	g.Expect([]any{len(put), len(removed), ok}).To(Equal([]any{0, 0, true}))
 	for i := range 300 {
 		leader.Put(int64(10+i), upstream("c", false))
 	}
-	_, _, _, ok = leader.Since(position)
+	_, _, _, ok = leader.ChangesSince(position)
 	g.Expect(ok).To(BeFalse(), "too far behind")
 }
 
@@ -106,13 +106,13 @@
 func TestFollowersGetRemovalsAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	leader := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	leader.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
+	leader.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
 	leader.MarkUnavailable()
 	leader.MarkAvailable(start, start.Add(-5*time.Second))
-	leader.List(start, 6, []turmericwall.Upstream{upstream("a", false)})
+	leader.ApplyListing(start, 6, []turmericwall.Upstream{upstream("a", false)})
 	before := leader.Position()
-	leader.Sweep(start.Add(3 * time.Second))
-	put, removed, position, ok := leader.Since(before)
+	leader.RemoveMissing(start.Add(3 * time.Second))
+	put, removed, position, ok := leader.ChangesSince(before)
 	g.Expect([]any{len(put), removed, ok}).To(Equal([]any{0, []string{"b"}, true}))
 	g.Expect(position).To(BeNumerically(">", before))
 }
@@ -123,18 +123,18 @@
 func TestRemovalAfterOutageDoesNotHideNextChange(t *testing.T) {
 	g := NewWithT(t)
 	leader, follower := twupstreams.New(twupstreams.Config{LapseMillis: 1800}), twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	leader.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
+	leader.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
 	leader.MarkUnavailable()
 	leader.MarkAvailable(start, start.Add(-5*time.Second))
-	leader.List(start, 6, []turmericwall.Upstream{upstream("a", false)})
-	leader.Sweep(start.Add(3 * time.Second))
-	follower.FollowAll(leader.Position(), leader.All())
+	leader.ApplyListing(start, 6, []turmericwall.Upstream{upstream("a", false)})
+	leader.RemoveMissing(start.Add(3 * time.Second))
+	follower.ApplyPeerView(leader.Position(), leader.All())
 	leader.Put(7, upstream("a", true))
 	g.Expect(leader.Position()).To(BeNumerically(">", follower.Position()))
-	put, removed, position, ok := leader.Since(follower.Position())
+	put, removed, position, ok := leader.ChangesSince(follower.Position())
 	g.Expect(ok).To(BeTrue())
-	follower.Follow(position, put, removed)
-	g.Expect(follower.Takes(upstream("a", false).Key())).To(BeFalse())
+	follower.ApplyPeerChanges(position, put, removed)
+	g.Expect(follower.AcceptsCalls(upstream("a", false).Key())).To(BeFalse())
 }
 
 // No change of the registry arrives for a second, an upstream's entry is removed meanwhile, and the history is lost.
@@ -143,10 +143,10 @@
 func TestEntryMissingAfterShortOutageIsRemoved(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	v.List(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
+	v.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false), upstream("b", false)})
 	v.MarkUnavailable()
 	v.MarkAvailable(start, start.Add(-1200*time.Millisecond))
-	v.List(start, 9, []turmericwall.Upstream{upstream("a", false)})
+	v.ApplyListing(start, 9, []turmericwall.Upstream{upstream("a", false)})
 	g.Expect(ids(v)).To(Equal([]string{"a"}))
 }
 
@@ -158,28 +158,36 @@
 		apply func(v *twupstreams.View)
 	}{
 		{"no further change", func(*twupstreams.View) {}},
-		{"a listing", func(v *twupstreams.View) { v.List(start, 6, []turmericwall.Upstream{a}) }},
+		{"a listing", func(v *twupstreams.View) { v.ApplyListing(start, 6, []turmericwall.Upstream{a}) }},
 		{"an entry", func(v *twupstreams.View) { v.Put(6, a) }},
-		{"a peer's changes", func(v *twupstreams.View) { v.Follow(v.Position()+1, []turmericwall.Upstream{a}, nil) }},
-		{"a peer's whole view", func(v *twupstreams.View) { v.FollowAll(v.Position()+1, []turmericwall.Upstream{a}) }},
+		{"a peer's changes", func(
+			v *twupstreams.View,
+		) {
+			v.ApplyPeerChanges(v.Position()+1, []turmericwall.Upstream{a}, nil)
+		}},
+		{"a peer's whole view", func(
+			v *twupstreams.View,
+		) {
+			v.ApplyPeerView(v.Position()+1, []turmericwall.Upstream{a})
+		}},
 		{"an entry that lapsed and was listed again", func(v *twupstreams.View) {
 			v.Remove(start, 6, "a")
-			v.Sweep(start.Add(time.Minute))
+			v.RemoveMissing(start.Add(time.Minute))
 			v.Put(7, a)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-			v.List(start, 5, []turmericwall.Upstream{a, upstream("b", false)})
+			v.ApplyListing(start, 5, []turmericwall.Upstream{a, upstream("b", false)})
 			position := v.Position()
-			g.Expect(v.Announced(start, a.Key())).To(BeTrue())
-			g.Expect(v.Announced(start, a.Key())).To(BeFalse(), "only the first announcement counts")
+			g.Expect(v.RecordAnnouncement(start, a.Key())).To(BeTrue())
+			g.Expect(v.RecordAnnouncement(start, a.Key())).To(BeFalse(), "only the first announcement counts")
 			g.Expect(v.Position()).To(Equal(position), "followers count only changes of the registry")
 			c.apply(v)
-			g.Expect(v.Takes(a.Key())).To(BeFalse())
+			g.Expect(v.AcceptsCalls(a.Key())).To(BeFalse())
 			g.Expect(v.Upstreams("s")[0].Leaving).To(BeTrue())
-			g.Expect(v.AllAnnounced()).To(Equal([]turmericwall.UpstreamKey{a.Key()}))
+			g.Expect(v.AnnouncedLeaving()).To(Equal([]turmericwall.UpstreamKey{a.Key()}))
 		})
 	}
 }
@@ -188,23 +196,23 @@
 func TestAnnouncementIsSharedOnlyUntilRegistryListsIt(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
-	v.List(start, 5, []turmericwall.Upstream{upstream("a", false)})
-	v.Announced(start, upstream("a", false).Key())
-	g.Expect(v.AllAnnounced()).To(HaveLen(1))
+	v.ApplyListing(start, 5, []turmericwall.Upstream{upstream("a", false)})
+	v.RecordAnnouncement(start, upstream("a", false).Key())
+	g.Expect(v.AnnouncedLeaving()).To(HaveLen(1))
 	v.Put(6, upstream("a", true))
-	g.Expect(v.AllAnnounced()).To(BeEmpty())
+	g.Expect(v.AnnouncedLeaving()).To(BeEmpty())
 }
 
 func TestRestartedUpstreamHasNoAnnouncement(t *testing.T) {
 	g := NewWithT(t)
 	v := twupstreams.New(twupstreams.Config{LapseMillis: 1800})
 	a := upstream("a", false)
-	v.List(start, 5, []turmericwall.Upstream{a})
-	v.Announced(start, a.Key())
+	v.ApplyListing(start, 5, []turmericwall.Upstream{a})
+	v.RecordAnnouncement(start, a.Key())
 	a.StartedMillis++
 	v.Put(6, a)
-	g.Expect(v.Takes(a.Key())).To(BeTrue())
-	g.Expect(v.AllAnnounced()).To(BeEmpty())
-	v.Sweep(start.Add(11 * time.Minute))
-	g.Expect(v.Announced(start, upstream("a", false).Key())).To(BeTrue(), "the announcement has expired")
+	g.Expect(v.AcceptsCalls(a.Key())).To(BeTrue())
+	g.Expect(v.AnnouncedLeaving()).To(BeEmpty())
+	v.RemoveMissing(start.Add(11 * time.Minute))
+	g.Expect(v.RecordAnnouncement(start, upstream("a", false).Key())).To(BeTrue(), "the announcement has expired")
 }
--- a/internal/membership/twwatch/watch.go
+++ b/internal/membership/twwatch/watch.go
@@ -46,16 +46,16 @@
 	Wait time.Duration
 	// Paused reports whether another daemon reads the table for this one; nil means never.
 	Paused func() bool
-	// Known returns the version up to which this daemon has all changes from peers when its own reading begins. If it
-	// is nil or returns 0, all rows are listed.
-	Known func() int64
-	// Noted is called with the outcome of each read; it may be nil.
-	Noted func(err error)
-	// Confirmed is called after each read that brought the follower up to date with the whole table, with the time
+	// KnownVersion returns the version up to which this daemon has all changes from peers when its own reading begins.
+	// If it is nil or returns 0, all rows are listed.
+	KnownVersion func() int64
+	// OnRead is called with the outcome of each read; it may be nil.
+	OnRead func(err error)
+	// OnConfirmed is called after each read that brought the follower up to date with the whole table, with the time
 	// before that read; it may be nil.
-	Confirmed func(sentAt twboottime.Moment)
-	// ReadElsewhere returns when another daemon last read the table for this one; nil means never.
-	ReadElsewhere func() time.Time
+	OnConfirmed func(sentAt twboottime.Moment)
+	// PeerReadAt returns when another daemon last read the table for this one; nil means never.
+	PeerReadAt func() time.Time
 }
 
 // Watch follows one table. Relist, ReadAt and Failing are safe for concurrent use with Run.
@@ -99,16 +99,16 @@
 		complete, err := w.readOnce(ctx)
 		if complete {
 			w.readAt.Store(&sentAt)
-			if w.config.Confirmed != nil {
-				w.config.Confirmed(sentAtBootTime)
+			if w.config.OnConfirmed != nil {
+				w.config.OnConfirmed(sentAtBootTime)
 			}
 		}
 		if ctx.Err() != nil {
 			break
 		}
 		w.recordResult(err)
-		if w.config.Noted != nil {
-			w.config.Noted(err)
+		if w.config.OnRead != nil {
+			w.config.OnRead(err)
 		}
 		if err != nil && !sleep(ctx, w.backoff) {
 			break
@@ -131,10 +131,10 @@
 		return
 	}
 	w.paused = false
-	if w.config.Known == nil {
+	if w.config.KnownVersion == nil {
 		return
 	}
-	if version := w.config.Known(); version > 0 {
+	if version := w.config.KnownVersion(); version > 0 {
 		w.after = max(w.after, version)
 		w.listed = true
 	}
@@ -218,10 +218,10 @@
 // lastReadAt returns when the table was last read, by this watch or for it.
 func (w *Watch) lastReadAt() time.Time {
 	at := w.ReadAt()
-	if w.config.ReadElsewhere == nil {
+	if w.config.PeerReadAt == nil {
 		return at
 	}
-	if elsewhere := w.config.ReadElsewhere(); elsewhere.After(at) {
+	if elsewhere := w.config.PeerReadAt(); elsewhere.After(at) {
 		return elsewhere
 	}
 	return at
--- a/internal/membership/twwatch/watch_test.go
+++ b/internal/membership/twwatch/watch_test.go
@@ -144,7 +144,7 @@
 	done := make(chan error, 1)
 	w := twwatch.New(twwatch.Config{
 		Feed: f, Table: "t", Follower: &follower{}, Wait: time.Second,
-		Confirmed: func(twboottime.Moment) { confirmed.Add(1) },
+		OnConfirmed: func(twboottime.Moment) { confirmed.Add(1) },
 	})
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
@@ -180,7 +180,7 @@
 	go func() {
 		done <- twwatch.New(twwatch.Config{
 			Feed: f, Table: "t", Follower: recorded, Wait: time.Second, Paused: paused.Load,
-			ReadElsewhere: func() time.Time { return readElsewhere.Add(time.Minute) },
+			PeerReadAt: func() time.Time { return readElsewhere.Add(time.Minute) },
 		}).Run(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-done })
@@ -216,8 +216,8 @@
 	done := make(chan error, 1)
 	outcomes := make(chan error, 100)
 	w := twwatch.New(twwatch.Config{
-		Feed: f, Table: "t", Follower: recorded, Wait: time.Second, Known: func() int64 { return 7 },
-		Paused: func() bool { return !active.Load() }, Noted: func(err error) { outcomes <- err },
+		Feed: f, Table: "t", Follower: recorded, Wait: time.Second, KnownVersion: func() int64 { return 7 },
+		Paused: func() bool { return !active.Load() }, OnRead: func(err error) { outcomes <- err },
 	})
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
--- a/internal/operations/twdaemon/daemon.go
+++ b/internal/operations/twdaemon/daemon.go
@@ -192,7 +192,7 @@
 // is how a new VM obtains the configuration.
 func (d *Daemon) runExchange(ctx context.Context) error {
 	_ = d.fleet.Refresh(ctx)
-	d.exchange.Meet(ctx)
+	d.exchange.ExchangeWithAll(ctx)
 	return d.exchange.Run(ctx)
 }
 
--- a/internal/operations/twdaemon/status.go
+++ b/internal/operations/twdaemon/status.go
@@ -25,7 +25,7 @@
 	}
 	if document, ok := d.documents.Current(); ok {
 		s.Revision, s.Digest = document.Revision(), document.Digest()
-		s.Ready = !s.Draining && d.fleet.Known()
+		s.Ready = !s.Draining && d.fleet.HasList()
 	}
 	for _, heartbeat := range d.exchange.Members()[1:] {
 		s.Peers = append(s.Peers, twoperations.PeerStatus{
