--- a/internal/admission/twauthenticator/authenticator.go
+++ b/internal/admission/twauthenticator/authenticator.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// Holds checks that the credential may still be used: the plan still contains its key, and the plan's proof is recent
-// enough. A key may be removed while its call waits for an engine. The error is a *Problem.
-func (a *Authenticator) Holds(c Credential) error {
+// CheckCredential checks that the credential may still be used: the plan still contains its key, and the plan's proof
+// is recent enough. A key may be removed while its call waits for an engine. The error is a *Problem.
+func (a *Authenticator) CheckCredential(c Credential) error {
 	if c.key == "" {
 		return nil
 	}
--- a/internal/admission/twauthenticator/authenticator_test.go
+++ b/internal/admission/twauthenticator/authenticator_test.go
@@ -140,8 +140,10 @@
 	f.proof.Confirm(twboottime.Now())
 	got, err := f.Authenticate(context.Background(), turmericwall.Route{}, bearer("k2"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(f.Holds(got)).To(Succeed())
+	g.Expect(f.CheckCredential(got)).To(Succeed())
 	f.apply(2, "k1")
-	g.Expect(turmericwall.IsKind(f.Holds(got), turmericwall.KindUnauthorized)).To(BeTrue())
-	g.Expect(f.Holds(twauthenticator.Credential{})).To(Succeed(), "an anonymous call has no key that could be removed")
+	g.Expect(turmericwall.IsKind(f.CheckCredential(got), turmericwall.KindUnauthorized)).To(BeTrue())
+	g.Expect(
+		f.CheckCredential(twauthenticator.Credential{}),
+	).To(Succeed(), "an anonymous call has no key that could be removed")
 }
--- a/internal/admission/twkeyring/keyring.go
+++ b/internal/admission/twkeyring/keyring.go
@@ -22,9 +22,9 @@
 // New returns an empty keyring.
 func New() *Keyring { return &Keyring{} }
 
-// Find returns the document's account whose key the value of an Authorization header contains; it reports false if the
-// header is malformed or no account has the key.
-func (k *Keyring) Find(document *turmericwall.Document, header string) (turmericwall.Account, bool) {
+// FindAccount returns the document's account whose key the value of an Authorization header contains; it reports false
+// if the header is malformed or no account has the key.
+func (k *Keyring) FindAccount(document *turmericwall.Document, header string) (turmericwall.Account, bool) {
 	key, ok := twkeyindex.ParseBearer([]string{header})
 	if !ok {
 		return turmericwall.Account{}, false
--- a/internal/admission/twkeyring/keyring_test.go
+++ b/internal/admission/twkeyring/keyring_test.go
@@ -28,11 +28,11 @@
 func TestFindReturnsTheAccountOfAKey(t *testing.T) {
 	g := NewWithT(t)
 	k, d := twkeyring.New(), newDocument(5)
-	account, ok := k.Find(d, "Bearer key-3")
+	account, ok := k.FindAccount(d, "Bearer key-3")
 	g.Expect(ok).To(BeTrue())
 	g.Expect(account.Name).To(Equal("a-3"))
 	for _, header := range []string{"", "key-3", "Bearer key-9", "Bearer ", "bearer key-3", "Basic key-3"} {
-		_, ok = k.Find(d, header)
+		_, ok = k.FindAccount(d, header)
 		g.Expect(ok).To(BeFalse(), header)
 	}
 }
@@ -41,9 +41,9 @@
 func TestFindUsesTheCurrentDocument(t *testing.T) {
 	g := NewWithT(t)
 	k := twkeyring.New()
-	_, ok := k.Find(newDocument(5), "Bearer key-4")
+	_, ok := k.FindAccount(newDocument(5), "Bearer key-4")
 	g.Expect(ok).To(BeTrue())
-	_, ok = k.Find(newDocument(4), "Bearer key-4")
+	_, ok = k.FindAccount(newDocument(4), "Bearer key-4")
 	g.Expect(ok).To(BeFalse())
 }
 
@@ -53,7 +53,7 @@
 			k, d := twkeyring.New(), newDocument(accounts)
 			b.ReportAllocs()
 			for b.Loop() {
-				k.Find(d, "Bearer key-7")
+				k.FindAccount(d, "Bearer key-7")
 			}
 		})
 	}
--- a/internal/admission/twquota/meter.go
+++ b/internal/admission/twquota/meter.go
@@ -49,12 +49,12 @@
 	// Account returns an account of the plan in force.
 	Account func(name string) (turmericwall.ClientAccount, bool)
 	// Leading reports whether this daemon is the leader, Led whether it receives the heartbeats of another one.
-	Leading func() bool
-	Led     func() bool
+	Leading           func() bool
+	FollowsLiveLeader func() bool
 	// Daemons returns the number of live daemons, 0 while it is unknown. Absent returns how many more answered the
 	// leader recently.
-	Daemons func() int
-	Absent  func() int
+	Daemons             func() int
+	UnresponsiveDaemons func() int
 	// WindowSeconds, Overage and Slack bound the use over a quota of all daemons together. In any window of
 	// WindowSeconds an account may use what the quota allows, the fraction Overage of that in addition, and Slack
 	// units.
@@ -169,7 +169,7 @@
 // readState reads this daemon's role and the size of the cluster. The size is cached for daemonCountMaxAge, since
 // counting hundreds of members for each call is costly.
 func (m *Meter) readState() clusterState {
-	s := clusterState{now: m.config.Now(), leading: m.config.Leading(), led: m.config.Led()}
+	s := clusterState{now: m.config.Now(), leading: m.config.Leading(), led: m.config.FollowsLiveLeader()}
 	m.mu.Lock()
 	last := m.lastState
 	m.mu.Unlock()
@@ -179,7 +179,7 @@
 	}
 	s.daemons, s.countedAt = m.config.Daemons(), s.now
 	if s.leading {
-		s.absent = m.config.Absent()
+		s.absent = m.config.UnresponsiveDaemons()
 	}
 	return s
 }
@@ -281,8 +281,9 @@
 			account.Name, units, remaining, scope), "retry after the delay in Retry-After").WithRetryAt(retryAt)
 }
 
-// Uses returns this daemon's use of the accounts with recent calls. It goes into the reply to the leader's heartbeat.
-func (m *Meter) Uses() []turmericwall.AccountUse {
+// LocalUses returns this daemon's use of the accounts with recent calls. It goes into the reply to the leader's
+// heartbeat.
+func (m *Meter) LocalUses() []turmericwall.AccountUse {
 	now := m.config.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -297,11 +298,11 @@
 	return list
 }
 
-// Report charges the use that another daemon reported, as the leader. uptime is the time since that daemon's start.
+// RecordUses charges the use that another daemon reported, as the leader. uptime is the time since that daemon's start.
 //
 // Uses are totals since the daemon's start, so that a lost or repeated report does no harm. In the first report of a
 // daemon that is not new, the previous leader has counted everything but what the daemon used without a leader.
-func (m *Meter) Report(incarnation string, uptime time.Duration, uses []turmericwall.AccountUse) {
+func (m *Meter) RecordUses(incarnation string, uptime time.Duration, uses []turmericwall.AccountUse) {
 	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -328,8 +329,8 @@
 	}
 }
 
-// Gone discards the reports of a daemon that no longer answers.
-func (m *Meter) Gone(incarnation string) {
+// RemoveDaemon discards the reports of a daemon that no longer answers.
+func (m *Meter) RemoveDaemon(incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.reported, incarnation)
@@ -357,9 +358,9 @@
 	return list
 }
 
-// TakeLevels applies the levels in a heartbeat of the leader with the given incarnation. It must be called before Uses
+// ApplyLevels applies the levels in a heartbeat of the leader with the given incarnation. It must be called before Uses
 // is called for the reply to that heartbeat.
-func (m *Meter) TakeLevels(leader string, levels []turmericwall.AccountLevel) {
+func (m *Meter) ApplyLevels(leader string, levels []turmericwall.AccountLevel) {
 	now := m.config.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/admission/twquota/meter_test.go
+++ b/internal/admission/twquota/meter_test.go
@@ -81,16 +81,16 @@
 		Account: func(name string) (turmericwall.ClientAccount, bool) {
 			return turmericwall.ClientAccount{Name: name, Quota: f.quota}, name == "a" || name == "b"
 		},
-		Leading: func() bool { return f.leader == i && !f.leaderDead() },
-		Led:     func() bool { return f.hasLeader(i) },
+		Leading:           func() bool { return f.leader == i && !f.leaderDead() },
+		FollowsLiveLeader: func() bool { return f.hasLeader(i) },
 		Daemons: func() int {
 			if f.daemonsUnknown {
 				return 0
 			}
 			return len(f.meters) - f.absent(i)
 		},
-		Absent: func() int { return f.absent(i) },
-		Now:    func() time.Time { return f.now.Add(-f.suspended[i]) }, Restarted: restarted,
+		UnresponsiveDaemons: func() int { return f.absent(i) },
+		Now:                 func() time.Time { return f.now.Add(-f.suspended[i]) }, Restarted: restarted,
 		Random:        rand.New(rand.NewPCG(uint64(i), 3)).Float64,
 		WindowSeconds: windowSeconds, Overage: f.overage, Slack: f.slack,
 	})
@@ -113,8 +113,8 @@
 	levels := f.meters[f.leader].Levels()
 	for i, m := range f.meters {
 		if i != f.leader && !f.partitioned[i] {
-			m.TakeLevels(string(rune('A'+f.leader)), levels)
-			f.meters[f.leader].Report(fmt.Sprint(i, f.startedAt[i]), f.uptime(i), m.Uses())
+			m.ApplyLevels(string(rune('A'+f.leader)), levels)
+			f.meters[f.leader].RecordUses(fmt.Sprint(i, f.startedAt[i]), f.uptime(i), m.LocalUses())
 		}
 	}
 }
--- a/internal/admission/twquota/rate_fleet_test.go
+++ b/internal/admission/twquota/rate_fleet_test.go
@@ -85,7 +85,7 @@
 	d.rates = twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: d.now})
 	d.throttle = twthrottle.New(twthrottle.Config{
 		Rates: d.rates, Backoffs: twbackoff.New(), Peers: d.fleet, Self: d.member(),
-		Leader: d.currentLeader, Now: d.now, Daemons: d.countDaemons, Absent: d.countAbsent,
+		Leader: d.currentLeader, Now: d.now, Daemons: d.countDaemons, UnresponsiveDaemons: d.countAbsent,
 		Standbys: func() []turmericwall.Member {
 			var others []turmericwall.Member
 			for _, s := range d.standbys {
@@ -183,7 +183,7 @@
 	}
 	for _, d := range f.daemons {
 		if !d.terminated {
-			d.throttle.Forget()
+			d.throttle.DiscardExpired()
 		}
 	}
 }
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -63,8 +63,8 @@
 	Rank func() (rank, daemons int, at time.Time)
 	// Daemons returns the number of live daemons. Absent returns how many more answered this daemon recently, while it
 	// is the leader.
-	Daemons func() int
-	Absent  func() int
+	Daemons             func() int
+	UnresponsiveDaemons func() int
 	// Now returns the time of the monotonic clock.
 	Now func() time.Time
 }
@@ -328,7 +328,7 @@
 	}
 	next := clusterSize{daemons: t.config.Daemons(), validUntil: now.Add(daemonCountMaxAge)}
 	if _, leading, _ := t.config.Leader(); leading {
-		next.absent = t.config.Absent()
+		next.absent = t.config.UnresponsiveDaemons()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -343,8 +343,8 @@
 	return float64(daemons) / float64(daemons+s.absent)
 }
 
-// Open reports whether a send to the upstream may be admitted now.
-func (t *Throttle) Open(upstream turmericwall.UpstreamKey) bool {
+// CanAdmitSend reports whether a send to the upstream may be admitted now.
+func (t *Throttle) CanAdmitSend(upstream turmericwall.UpstreamKey) bool {
 	rate, limited := t.config.Rates.Rate(upstream)
 	if !limited {
 		return true
@@ -362,9 +362,9 @@
 	return !ok || !now.Before(a.nextRequestAt)
 }
 
-// Forget discards the state of upstreams that no longer state a rate, and expired back-offs of peers. It must be called
-// several times per second, because it also detects that this daemon is no longer the rate coordinator.
-func (t *Throttle) Forget() {
+// DiscardExpired discards the state of upstreams that no longer state a rate, and expired back-offs of peers. It must
+// be called several times per second, because it also detects that this daemon is no longer the rate coordinator.
+func (t *Throttle) DiscardExpired() {
 	t.updateCoordinating()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -47,7 +47,7 @@
 		Leader:   func() (turmericwall.Member, bool, bool) { return leader, false, true },
 		Standbys: func() []turmericwall.Member { return nil }, StandbyRank: func() int { return -1 },
 		Rank: func() (int, int, time.Time) { return 0, 6, *now }, Daemons: func() int { return 6 },
-		Absent: func() int { return 0 },
+		UnresponsiveDaemons: func() int { return 0 },
 	})
 }
 
@@ -76,7 +76,7 @@
 		g.Expect(problem.RetryAt().Sub(now)).To(BeNumerically("<=", 5*time.Second))
 	}
 	g.Expect(p.requests).To(HaveLen(1))
-	g.Expect(throttle.Open(key)).To(BeFalse())
+	g.Expect(throttle.CanAdmitSend(key)).To(BeFalse())
 	now = now.Add(500 * time.Millisecond)
 	p.reply = turmericwall.AdmitReply{Granted: 2}
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed())
--- a/internal/edge/twedge/edge.go
+++ b/internal/edge/twedge/edge.go
@@ -153,7 +153,7 @@
 			return turmericwall.NewProblem(turmericwall.KindNotReady, "the daemon knows no configuration yet",
 				"retry after the delay in Retry-After").WithRetryAt(e.config.Clock.Now().Add(time.Second))
 		}
-		account, ok := e.keys.Find(document, c.Request().Header.Get(echo.HeaderAuthorization))
+		account, ok := e.keys.FindAccount(document, c.Request().Header.Get(echo.HeaderAuthorization))
 		if !ok {
 			return turmericwall.NewProblem(turmericwall.KindUnauthorized, "the key is missing or unknown",
 				"send Authorization: Bearer with the account's key")
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -37,15 +37,16 @@
 					Name: name, Quota: turmericwall.Quota{PerSecond: 10, Burst: 10, CountsTokens: true},
 				}, true
 			},
-			Leading: func() bool { return true }, Led: func() bool { return false }, Daemons: func() int { return 1 },
-			Absent: func() int { return 0 }, Random: func() float64 { return 0 }, Now: time.Now,
+			Leading: func() bool { return true }, FollowsLiveLeader: func() bool { return false },
+			Daemons:             func() int { return 1 },
+			UnresponsiveDaemons: func() int { return 0 }, Random: func() float64 { return 0 }, Now: time.Now,
 		})
 		rates := twrates.New(twrates.Config{
 			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: time.Now,
 		})
 		throttle := twthrottle.New(twthrottle.Config{
 			Rates: rates, Leader: func() (turmericwall.Member, bool, bool) { return turmericwall.Member{}, true, true },
-			Daemons: func() int { return 1 }, Absent: func() int { return 0 }, Now: time.Now,
+			Daemons: func() int { return 1 }, UnresponsiveDaemons: func() int { return 0 }, Now: time.Now,
 		})
 		server := twpeerhttp.NewServer(twpeerhttp.Config{
 			ApplyHeartbeat: func(h turmericwall.Heartbeat) turmericwall.HeartbeatReply {
@@ -54,13 +55,13 @@
 				if age := proof.AgeMillis(now); age < -1 {
 					t.Fatalf("the proof has an age of %d ms", age)
 				}
-				quotas.TakeLevels(h.Leader.Incarnation, h.Levels)
+				quotas.ApplyLevels(h.Leader.Incarnation, h.Levels)
 				rates.RecordPeerRates(h.Rates)
 				return turmericwall.HeartbeatReply{}
 			},
 			State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
 				if ask.Joining != nil {
-					quotas.Report(
+					quotas.RecordUses(
 						ask.Joining.Incarnation, time.Duration(
 							ask.Joining.UptimeMillis,
 						)*time.Millisecond, ask.Joining.Uses)
