--- a/decisions.go
+++ b/decisions.go
@@ -108,7 +108,7 @@
 type Refusal struct {
 	Attempt string
 	Reason  string
-	// RetryAt is when the backlog is expected to be short enough to accept the attempt.
+	// ParseRetryAfter is when the backlog is expected to be short enough to accept the attempt.
 	RetryAt time.Time
 	// Permanent is set if the attempt exceeds every engine, so that a retry can't succeed.
 	Permanent bool
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -138,7 +138,7 @@
 
 // BackoffUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
 func (t *Throttle) BackoffUntil(upstream turmericwall.UpstreamKey) time.Time {
-	return t.config.Backoffs.Until(t.config.Now(), upstream)
+	return t.config.Backoffs.BackoffUntil(t.config.Now(), upstream)
 }
 
 // useGrantedSend uses a send that was granted before. If there is none, count is the number of sends to request; it is
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -94,7 +94,7 @@
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	p, backoffs := &fakePeers{}, twbackoff.New()
 	throttle := newFollower(&now, p, backoffs)
-	backoffs.Take(now, key, now.Add(3*time.Second))
+	backoffs.Record(now, key, now.Add(3*time.Second))
 	var problem *turmericwall.Problem
 	g.Expect(errors.As(throttle.Admit(context.Background(), key), &problem)).To(BeTrue())
 	g.Expect(problem.RetryAt()).To(Equal(now.Add(3 * time.Second)))
--- a/internal/delivery/twbackoff/backoffs.go
+++ b/internal/delivery/twbackoff/backoffs.go
@@ -20,9 +20,9 @@
 // maxRetrySeconds keeps a stated number of seconds from overflowing time.Duration.
 const maxRetrySeconds = 1e6
 
-// RetryAt parses the Retry-After header, which holds seconds, possibly with a fraction, or a date. It returns the zero
-// time when the header is missing or invalid.
-func RetryAt(now time.Time, header http.Header) time.Time {
+// ParseRetryAfter parses the Retry-After header, which holds seconds, possibly with a fraction, or a date. It returns
+// the zero time when the header is missing or invalid.
+func ParseRetryAfter(now time.Time, header http.Header) time.Time {
 	value := strings.TrimSpace(header.Get("Retry-After"))
 	if at, err := http.ParseTime(value); err == nil {
 		return at
@@ -46,8 +46,8 @@
 // New returns an empty set of back-offs.
 func New() *Backoffs { return &Backoffs{until: make(map[turmericwall.UpstreamKey]time.Time)} }
 
-// Take records that the upstream accepts no call before until. An earlier back-off that lasts longer stays.
-func (b *Backoffs) Take(now time.Time, upstream turmericwall.UpstreamKey, until time.Time) {
+// Record records that the upstream accepts no call before until. An earlier back-off that lasts longer stays.
+func (b *Backoffs) Record(now time.Time, upstream turmericwall.UpstreamKey, until time.Time) {
 	if latest := now.Add(maxBackoff); until.After(latest) {
 		until = latest
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// Until returns when the upstream accepts calls again; zero when it is not in back-off.
-func (b *Backoffs) Until(now time.Time, upstream turmericwall.UpstreamKey) time.Time {
+// BackoffUntil returns when the upstream accepts calls again; zero when it is not in back-off.
+func (b *Backoffs) BackoffUntil(now time.Time, upstream turmericwall.UpstreamKey) time.Time {
 	if !b.nonEmpty.Load() {
 		return time.Time{}
 	}
@@ -72,8 +72,8 @@
 	return time.Time{}
 }
 
-// Forget discards expired back-offs.
-func (b *Backoffs) Forget(now time.Time) {
+// DiscardExpired discards expired back-offs.
+func (b *Backoffs) DiscardExpired(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, until := range b.until {
--- a/internal/delivery/twbackoff/backoffs_test.go
+++ b/internal/delivery/twbackoff/backoffs_test.go
@@ -16,13 +16,15 @@
 	after := func(seconds int) time.Time { return now.Add(time.Duration(seconds) * time.Second) }
 	key := turmericwall.UpstreamKey{ID: "a", StartedMillis: 1}
 	b := twbackoff.New()
-	g.Expect(b.Until(now, key)).To(BeZero())
-	b.Take(now, key, after(5))
-	b.Take(now, key, after(2))
-	g.Expect(b.Until(now, key)).To(Equal(after(5)))
-	g.Expect(b.Until(now, turmericwall.UpstreamKey{ID: "a", StartedMillis: 2})).To(BeZero(), "another incarnation")
-	g.Expect(b.Until(after(5), key)).To(BeZero())
-	b.Forget(after(5))
-	b.Take(now, key, after(1_000_000))
-	g.Expect(b.Until(now, key)).To(Equal(now.Add(time.Hour)))
+	g.Expect(b.BackoffUntil(now, key)).To(BeZero())
+	b.Record(now, key, after(5))
+	b.Record(now, key, after(2))
+	g.Expect(b.BackoffUntil(now, key)).To(Equal(after(5)))
+	g.Expect(
+		b.BackoffUntil(now, turmericwall.UpstreamKey{ID: "a", StartedMillis: 2}),
+	).To(BeZero(), "another incarnation")
+	g.Expect(b.BackoffUntil(after(5), key)).To(BeZero())
+	b.DiscardExpired(after(5))
+	b.Record(now, key, after(1_000_000))
+	g.Expect(b.BackoffUntil(now, key)).To(Equal(now.Add(time.Hour)))
 }
--- a/internal/delivery/twdelivery/delivery.go
+++ b/internal/delivery/twdelivery/delivery.go
@@ -75,8 +75,8 @@
 	return wanted
 }
 
-// Live returns the number of active attempts.
-func (d *Delivery) Live() int {
+// ActiveAttempts returns the number of active attempts.
+func (d *Delivery) ActiveAttempts() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.activeAttempts)
--- a/internal/delivery/twpicker/picker.go
+++ b/internal/delivery/twpicker/picker.go
@@ -117,8 +117,8 @@
 	p.statsOf(u).openCalls--
 }
 
-// Forget discards the statistics of incarnations that are no longer known and have no open calls.
-func (p *Picker) Forget(known func(turmericwall.UpstreamKey) bool) {
+// DiscardUnknown discards the statistics of incarnations that are no longer known and have no open calls.
+func (p *Picker) DiscardUnknown(known func(turmericwall.UpstreamKey) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, r := range p.stats {
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -262,10 +262,10 @@
 	s.retries = twretries.New(twretries.Config{Ratio: 0.2, Slack: s.slack, WindowMillis: 10_000})
 	s.relay = twrelay.New(twrelay.Config{
 		Routes: routes, View: s.view, Upstreams: s.upstreams, Picker: twpicker.New(""), Placer: s.placer,
-		Throttle: s.throttle,
-		Retries:  s.retries,
-		Keys:     twauthenticator.New(twauthenticator.Config{Routes: routes, Proof: s.proof}),
-		Recorder: tweventlog.New(tweventlog.Config{Output: s.log}), Daemons: func() int { return 1 }, Daemon: "me",
+		Throttle:      s.throttle,
+		Retries:       s.retries,
+		Authenticator: twauthenticator.New(twauthenticator.Config{Routes: routes, Proof: s.proof}),
+		Recorder:      tweventlog.New(tweventlog.Config{Output: s.log}), Daemons: func() int { return 1 }, Daemon: "me",
 		Observe: func(o twrelay.Outcome) { s.outcomes = append(s.outcomes, o) },
 		StopsAt: func() (time.Time, bool) { return s.stopsAt, !s.stopsAt.IsZero() },
 	})
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -130,7 +130,7 @@
 		r.config.Placer.ApplyUpdate(end)
 	}()
 	a.upstreamID = p.Decode.ID
-	if err := r.config.Keys.CheckCredential(a.credential); err != nil {
+	if err := r.config.Authenticator.CheckCredential(a.credential); err != nil {
 		return true, err
 	}
 	if limitedID, err := r.admitPlacement(ctx, p); err != nil {
@@ -210,7 +210,7 @@
 	if err := r.checkAcceptsCalls(decode); err != nil {
 		return false, notRunProblem(err)
 	}
-	if err := r.config.Keys.CheckCredential(a.credential); err != nil {
+	if err := r.config.Authenticator.CheckCredential(a.credential); err != nil {
 		return true, err
 	}
 	if !r.spendSend(a) {
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -115,7 +115,7 @@
 		return brokenAnswer(events(1, 2)+"id: 3\nda", io.ErrUnexpectedEOF), nil
 	}
 	w, err := s.serve(context.Background(), "/m/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 	g.Expect(w.Body.String()).To(Equal(events(1, 2)))
 	g.Expect(s.placer.ends[len(s.placer.ends)-1].FailedEngine).To(Equal("d1"))
 }
@@ -305,7 +305,7 @@
 		return turmericwall.EngineExport{Address: "d1:1", Handle: "m"}, true, nil
 	}
 	_, err := s.serve(ctx, "/m/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 	g.Eventually(func() int {
 		s.placer.mu.Lock()
 		defer s.placer.mu.Unlock()
--- a/internal/delivery/twrelay/plain_test.go
+++ b/internal/delivery/twrelay/plain_test.go
@@ -194,7 +194,7 @@
 	ctx, leave := context.WithCancel(context.Background())
 	time.AfterFunc(30*time.Millisecond, leave)
 	_, err := s.serve(ctx, "/p/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 	g.Eventually(ended).Should(Receive())
 	g.Expect(s.outcomes[0].Result).To(Equal("left"))
 }
@@ -209,7 +209,7 @@
 		return brokenAnswer(string(long), io.ErrUnexpectedEOF), nil
 	}
 	_, err := s.serve(context.Background(), "/p/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 }
 
 func TestUnknownRoutesAndLargeBodiesAreRefused(t *testing.T) {
--- a/internal/delivery/twrelay/relay.go
+++ b/internal/delivery/twrelay/relay.go
@@ -31,9 +31,9 @@
 	stoppingRetryAfter = 50 * time.Millisecond
 )
 
-// ErrBrokenOff means that an answer was begun and can't be completed. The caller's connection must be closed, so that
-// the answer can't be taken as complete.
-var ErrBrokenOff = errors.New("the answer was broken off; close the caller's connection")
+// ErrAnswerTruncated means that an answer was begun and can't be completed. The caller's connection must be closed, so
+// that the answer can't be taken as complete.
+var ErrAnswerTruncated = errors.New("the answer was broken off; close the caller's connection")
 
 // Config holds the relay's dependencies.
 type Config struct {
@@ -44,8 +44,8 @@
 	Retries   *twretries.Budget
 	Placer    turmericwall.EnginePlacer
 	Recorder  turmericwall.Recorder
-	// Keys authenticates calls by their API keys.
-	Keys *twauthenticator.Authenticator
+	// Authenticator authenticates calls by their API keys.
+	Authenticator *twauthenticator.Authenticator
 	// Quotas is charged for calls of plain services; the placer charges model calls.
 	Quotas turmericwall.QuotaMeter
 	// Throttle admits each send to an upstream.
@@ -76,10 +76,10 @@
 	Result string
 	// Cause is the kind of problem of a refused call; empty for other results.
 	Cause turmericwall.Kind
-	// Millis is the time from reading the call to its end.
-	Millis int64
-	// FirstMillis is the time until a stream's first event was passed on; 0 when there was none.
-	FirstMillis int64
+	// DurationMillis is the time from reading the call to its end.
+	DurationMillis int64
+	// FirstEventMillis is the time until a stream's first event was passed on; 0 when there was none.
+	FirstEventMillis int64
 }
 
 // New returns a relay.
@@ -135,8 +135,8 @@
 // elapsedMillis returns the time since the call was read.
 func (a *attempt) elapsedMillis() int64 { return time.Since(a.call.ReceivedAt).Milliseconds() }
 
-// Serve serves one call and writes its answer. It returns ErrBrokenOff when the caller's connection must be closed:
-// the answer can't be completed, or the caller has left.
+// Serve serves one call and writes its answer. It returns ErrAnswerTruncated when the caller's connection must be
+// closed: the answer can't be completed, or the caller has left.
 func (r *Relay) Serve(ctx context.Context, w http.ResponseWriter, call turmericwall.RoutedCall) error {
 	a := &attempt{call: call, w: w}
 	plan, ok := r.config.Routes.Plan()
@@ -196,7 +196,7 @@
 		kept = append(kept, h)
 	}
 	a.call.Header = kept
-	credential, err := r.config.Keys.Authenticate(ctx, a.route, keys)
+	credential, err := r.config.Authenticator.Authenticate(ctx, a.route, keys)
 	if err != nil {
 		return err
 	}
@@ -233,8 +233,8 @@
 // finish writes the error as the caller's answer unless an answer was begun, and records the outcome.
 func (r *Relay) finish(ctx context.Context, a *attempt, err error) error {
 	outcome := Outcome{
-		Service: a.service.Name, Account: a.call.Account, Kind: a.route.Kind, Millis: a.elapsedMillis(),
-		FirstMillis: a.stats.firstEventMillis,
+		Service: a.service.Name, Account: a.call.Account, Kind: a.route.Kind, DurationMillis: a.elapsedMillis(),
+		FirstEventMillis: a.stats.firstEventMillis,
 	}
 	status := 0
 	switch {
@@ -258,7 +258,7 @@
 		r.config.Observe(outcome)
 	}
 	if outcome.Result == "brokenOff" || outcome.Result == "left" {
-		return ErrBrokenOff
+		return ErrAnswerTruncated
 	}
 	return nil
 }
@@ -284,7 +284,7 @@
 		Str("route", a.route.Name).Str("account", a.call.Account).Str("service", a.service.Name).
 		Int("planVersion", a.planVersion).
 		Int("upstreamsVersion", r.config.View.Version()).Str("upstream", a.upstreamID).Int("tries", int64(a.countedSends)).
-		Int("millis", outcome.Millis)
+		Int("millis", outcome.DurationMillis)
 	if !a.deadline.IsZero() {
 		entry = entry.Int("millisLeft", time.Until(a.deadline).Milliseconds())
 	}
--- a/internal/once/twforward/forwarder.go
+++ b/internal/once/twforward/forwarder.go
@@ -83,7 +83,7 @@
 			WithOutcome(turmericwall.OutcomeUnknown).WithCause(err)
 	}
 	if response.StatusCode == http.StatusServiceUnavailable {
-		f.eject(vm.Name, twbackoff.RetryAt(f.clock.Now(), response.Header))
+		f.eject(vm.Name, twbackoff.ParseRetryAfter(f.clock.Now(), response.Header))
 	}
 	return response, nil
 }
--- a/internal/operations/twdaemon/status.go
+++ b/internal/operations/twdaemon/status.go
@@ -15,7 +15,7 @@
 		Zone:        d.settings.Zone,
 		Draining:    d.draining.Load(),
 		InFlight:    d.edge.InFlight(),
-		Attempts:    d.delivery.Live(),
+		Attempts:    d.delivery.ActiveAttempts(),
 		Deferrable:  d.ledger.Running(),
 		Cancels:     d.canceller.Pending(),
 		Unrecorded:  d.claims.Unrecorded(),
