--- a/internal/admission/twauthenticator/authenticator.go
+++ b/internal/admission/twauthenticator/authenticator.go
@@ -93,7 +93,7 @@
 // KindUnauthorized if the key is missing, malformed or certainly invalid, KindNotReady if the plan is too old to
 // decide.
 func (a *Authenticator) CheckKey(
-	now twboottime.Moment, route turmericwall.Route, headers []string,
+	now twboottime.Instant, route turmericwall.Route, headers []string,
 ) (credential Credential, unknown bool, err error) {
 	key, wellFormed := twkeyindex.ParseBearer(headers)
 	account, found := turmericwall.ClientAccount{}, false
@@ -136,7 +136,7 @@
 
 // refuseUnproven returns the refusal of a call whose key cannot be decided on, because the last proof that the plan is
 // in force is too old or missing.
-func (a *Authenticator) refuseUnproven(now twboottime.Moment) error {
+func (a *Authenticator) refuseUnproven(now twboottime.Instant) error {
 	detail := "this daemon can't tell whether the key is valid: its plan was never proved to be in force"
 	if age := a.config.Proof.AgeMillis(now); age >= 0 {
 		detail = fmt.Sprintf(
--- a/internal/admission/twauthenticator/authenticator_test.go
+++ b/internal/admission/twauthenticator/authenticator_test.go
@@ -45,7 +45,7 @@
 // Guards against calls that are admitted with a missing, malformed, unknown or possibly removed key, and against an
 // unknown key that is refused for good while a newer plan may contain it.
 func TestCheckKey(t *testing.T) {
-	const now = twboottime.Moment(10 * time.Second)
+	const now = twboottime.Instant(10 * time.Second)
 	cases := []struct {
 		name      string
 		proofAge  time.Duration
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -114,7 +114,7 @@
 	return nil, nil
 }
 
-func (u *fakeUpstreams) Load(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
+func (u *fakeUpstreams) FetchLoad(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
 	return turmericwall.EngineLoad{}, nil
 }
 
--- a/internal/edge/twedge/edge.go
+++ b/internal/edge/twedge/edge.go
@@ -107,7 +107,7 @@
 	if e.config.TLS != nil {
 		listener = tls.NewListener(listener, e.config.TLS)
 	}
-	return twserve.Until(ctx, e.server, listener)
+	return twserve.ServeUntilDone(ctx, e.server, listener)
 }
 
 // DisableKeepAlives makes each connection close after its next answer, so that callers open new ones elsewhere.
--- a/internal/membership/twelection/election.go
+++ b/internal/membership/twelection/election.go
@@ -137,7 +137,7 @@
 func (e *Election) Run(ctx context.Context) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	var nextAt twboottime.Moment
+	var nextAt twboottime.Instant
 	leaderSeenAt := twboottime.Now()
 	for {
 		nominated := false
--- a/internal/membership/twlease/lease.go
+++ b/internal/membership/twlease/lease.go
@@ -41,15 +41,15 @@
 	// version is the version of the row as last seen, and seenAt when this daemon first saw that version.
 	version int64
 	seen    bool
-	seenAt  twboottime.Moment
+	seenAt  twboottime.Instant
 	holder  turmericwall.Member
 	// fence is the fencing token of this daemon's term; 0 while it does not hold the row.
 	fence        int64
-	termDeadline twboottime.Moment
+	termDeadline twboottime.Instant
 	// released is set once the row was released: the holder places calls until another daemon takes the row, but
 	// sends no orders.
 	released        bool
-	ordersAllowedAt twboottime.Moment
+	ordersAllowedAt twboottime.Instant
 }
 
 // Row is the lease's row in the store.
@@ -71,7 +71,7 @@
 func New(config Config) *Lease { return &Lease{config: config} }
 
 // RecordRow records the row as read from the store; version 0 means that there is none.
-func (l *Lease) RecordRow(now twboottime.Moment, version int64, value []byte) {
+func (l *Lease) RecordRow(now twboottime.Instant, version int64, value []byte) {
 	if l.seen && version == l.version {
 		return
 	}
@@ -97,7 +97,7 @@
 // The row must stay unchanged for takeoverTimeout before another daemon takes it. That time counts from the first
 // heartbeat with the row's last version; counted from the first read after the heartbeats stopped, the takeover would
 // come later by as much.
-func (l *Lease) RecordVersion(now twboottime.Moment, version int64, holder turmericwall.Member) {
+func (l *Lease) RecordVersion(now twboottime.Instant, version int64, holder turmericwall.Member) {
 	if l.fence != 0 || version <= l.version {
 		return
 	}
@@ -116,7 +116,7 @@
 // one could not run. Otherwise, after a power loss of all daemons, calls are placed locally for two seconds while the
 // row still seems to be held. The last order of the earlier incarnation may still be in transit, so orders wait as
 // after any other holder.
-func (l *Lease) NextWrite(now twboottime.Moment) (Write, bool) {
+func (l *Lease) NextWrite(now twboottime.Instant) (Write, bool) {
 	if !l.seen {
 		return Write{}, false
 	}
@@ -162,7 +162,7 @@
 }
 
 // ConfirmWrite records a confirmed write that was sent at sentAt, and the row's version after it.
-func (l *Lease) ConfirmWrite(sentAt twboottime.Moment, write Write, version int64) {
+func (l *Lease) ConfirmWrite(sentAt twboottime.Instant, write Write, version int64) {
 	if l.fence == 0 {
 		l.startTerm(sentAt, write.IfVersion+1)
 	}
@@ -174,7 +174,7 @@
 
 // startTerm records a takeover. If the write was not answered, the takeover is found only by reading the row back,
 // and the daemon may send orders only after the next confirmed renewal.
-func (l *Lease) startTerm(now twboottime.Moment, fence int64) {
+func (l *Lease) startTerm(now twboottime.Instant, fence int64) {
 	l.fence = fence
 	l.ordersAllowedAt = now
 	if fence > 1 {
@@ -186,7 +186,7 @@
 func (l *Lease) Holds() bool { return l.fence != 0 }
 
 // Fence returns the fencing token for orders; ok is false when this daemon may not send orders now.
-func (l *Lease) Fence(now twboottime.Moment) (fence int64, ok bool) {
+func (l *Lease) Fence(now twboottime.Instant) (fence int64, ok bool) {
 	if l.fence == 0 || l.released || now >= l.termDeadline || now < l.ordersAllowedAt {
 		return 0, false
 	}
@@ -194,7 +194,7 @@
 }
 
 // Expired reports whether this daemon holds the lease, but sent its last confirmed renewal more than a term ago.
-func (l *Lease) Expired(now twboottime.Moment) bool {
+func (l *Lease) Expired(now twboottime.Instant) bool {
 	return l.fence != 0 && l.termDeadline != 0 && now >= l.termDeadline
 }
 
--- a/internal/membership/twlease/lease_test.go
+++ b/internal/membership/twlease/lease_test.go
@@ -14,7 +14,7 @@
 
 const orderGap = 3 * time.Second
 
-var start = twboottime.Moment(time.Hour)
+var start = twboottime.Instant(time.Hour)
 
 // lease returns the lease of the named daemon's first incarnation.
 func lease(name string) *twlease.Lease {
@@ -32,7 +32,7 @@
 }
 
 // takeOrRenew writes the row, which must be due, and confirms the write with the version.
-func takeOrRenew(g *WithT, l *twlease.Lease, at twboottime.Moment, version int64) {
+func takeOrRenew(g *WithT, l *twlease.Lease, at twboottime.Instant, version int64) {
 	write, due := l.NextWrite(at)
 	g.Expect(due).To(BeTrue())
 	l.ConfirmWrite(at, write, version)
--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -35,18 +35,18 @@
 	// reading is set while a read of the store is under way; it was sent at readSentAt and returns the version
 	// readVersion.
 	reading     bool
-	readSentAt  twboottime.Moment
+	readSentAt  twboottime.Instant
 	readVersion int64
 }
 
 // model simulates a store, some daemons and a leader in virtual time.
 type model struct {
-	now     twboottime.Moment
+	now     twboottime.Instant
 	daemons []*daemon
 	leader  int
 	// version is the plan in the store. Version 2 removes the key; it is acknowledged at removedAt.
 	version   int64
-	removedAt twboottime.Moment
+	removedAt twboottime.Instant
 }
 
 func newModel(daemons int) *model {
@@ -187,12 +187,12 @@
 				g := NewWithT(t)
 				random := rand.New(rand.NewPCG(seed, 11))
 				m := newModel(count)
-				partitionedUntil := make([]twboottime.Moment, count)
-				connectedSince := make([]twboottime.Moment, count)
+				partitionedUntil := make([]twboottime.Instant, count)
+				connectedSince := make([]twboottime.Instant, count)
 				storeUnavailable := false
 				// leaderCurrentSince is when a leader last had a proof older than 1.5 s, or when the leader last
 				// changed.
-				var leaderCurrentSince twboottime.Moment
+				var leaderCurrentSince twboottime.Instant
 				for tick := range 400 {
 					m.now = m.now.Add(50 * time.Millisecond)
 					switch {
--- a/internal/membership/twproof/proof.go
+++ b/internal/membership/twproof/proof.go
@@ -32,7 +32,7 @@
 type Proof struct {
 	config Config
 	mu     sync.Mutex
-	at     twboottime.Moment
+	at     twboottime.Instant
 	known  bool
 }
 
@@ -41,7 +41,7 @@
 
 // Confirm records that the daemon's plan holds all changes that were acknowledged before the given time. A time
 // before the recorded one is ignored.
-func (p *Proof) Confirm(at twboottime.Moment) {
+func (p *Proof) Confirm(at twboottime.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.known || at > p.at {
@@ -52,7 +52,7 @@
 
 // ConfirmAged records a peer's proof, which had the given age when the peer replied to a request sent at sentAt. A
 // negative age means that the peer has no proof.
-func (p *Proof) ConfirmAged(sentAt twboottime.Moment, ageMillis int64) {
+func (p *Proof) ConfirmAged(sentAt twboottime.Instant, ageMillis int64) {
 	if ageMillis >= 0 && ageMillis <= maxAgeMillis {
 		p.Confirm(sentAt.Add(-time.Duration(ageMillis) * time.Millisecond))
 	}
@@ -62,14 +62,14 @@
 //
 // A heartbeat can stay unread in a socket for seconds, while its receiver is suspended or a link is down. Dated by
 // its arrival, the proof would look new; dated by the echoed time, it is never newer than when it was written.
-func (p *Proof) ConfirmEcho(now twboottime.Moment, echo turmericwall.Echo, ageMillis int64) {
-	if echo.Incarnation == p.config.Incarnation && twboottime.Moment(echo.BootTimeNanos) <= now {
-		p.ConfirmAged(twboottime.Moment(echo.BootTimeNanos), ageMillis)
+func (p *Proof) ConfirmEcho(now twboottime.Instant, echo turmericwall.Echo, ageMillis int64) {
+	if echo.Incarnation == p.config.Incarnation && twboottime.Instant(echo.BootTimeNanos) <= now {
+		p.ConfirmAged(twboottime.Instant(echo.BootTimeNanos), ageMillis)
 	}
 }
 
 // AgeMillis returns the proof's age in milliseconds, rounded up, or -1 when there is none.
-func (p *Proof) AgeMillis(now twboottime.Moment) int64 {
+func (p *Proof) AgeMillis(now twboottime.Instant) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.known {
@@ -80,7 +80,7 @@
 
 // AdmitsListedKey reports whether a key in the plan may be used: had it been removed longer than MaxAge ago, this
 // daemon would know.
-func (p *Proof) AdmitsListedKey(now twboottime.Moment) bool {
+func (p *Proof) AdmitsListedKey(now twboottime.Instant) bool {
 	if p.config.MaxAge <= 0 {
 		return true
 	}
@@ -91,14 +91,14 @@
 
 // DeniesUnlistedKey reports whether a key that is not in the plan may be refused as unknown: no plan that must be in
 // force by now holds it.
-func (p *Proof) DeniesUnlistedKey(now twboottime.Moment) bool {
+func (p *Proof) DeniesUnlistedKey(now twboottime.Instant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.known && now.Sub(p.at) < p.config.UnlistedKeyMaxAge
 }
 
 // Covers reports whether the plan holds all changes that were acknowledged before the given time.
-func (p *Proof) Covers(at twboottime.Moment) bool {
+func (p *Proof) Covers(at twboottime.Instant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.known && p.at >= at
--- a/internal/membership/twproof/proof_test.go
+++ b/internal/membership/twproof/proof_test.go
@@ -12,8 +12,8 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twboottime"
 )
 
-func at(millis int64) twboottime.Moment {
-	return twboottime.Moment(millis * int64(time.Millisecond))
+func at(millis int64) twboottime.Instant {
+	return twboottime.Instant(millis * int64(time.Millisecond))
 }
 
 func newProof() *twproof.Proof {
--- a/internal/membership/twwatch/watch.go
+++ b/internal/membership/twwatch/watch.go
@@ -53,7 +53,7 @@
 	OnRead func(err error)
 	// OnConfirmed is called after each read that brought the follower up to date with the whole table, with the time
 	// before that read; it may be nil.
-	OnConfirmed func(sentAt twboottime.Moment)
+	OnConfirmed func(sentAt twboottime.Instant)
 	// PeerReadAt returns when another daemon last read the table for this one; nil means never.
 	PeerReadAt func() time.Time
 }
--- a/internal/membership/twwatch/watch_test.go
+++ b/internal/membership/twwatch/watch_test.go
@@ -144,7 +144,7 @@
 	done := make(chan error, 1)
 	w := twwatch.New(twwatch.Config{
 		Feed: f, Table: "t", Follower: &follower{}, Wait: time.Second,
-		OnConfirmed: func(twboottime.Moment) { confirmed.Add(1) },
+		OnConfirmed: func(twboottime.Instant) { confirmed.Add(1) },
 	})
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
--- a/internal/operations/twboottime/clock.go
+++ b/internal/operations/twboottime/clock.go
@@ -8,25 +8,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Moment is an instant, in nanoseconds since the machine's start.
+// Instant is an instant, in nanoseconds since the machine's start.
 //
 // The ordinary monotonic clock (CLOCK_MONOTONIC) stops while the machine is suspended, and the wall clock may jump. By
 // either of them a lease could look valid long after another daemon has taken it over.
-type Moment int64
+type Instant int64
 
 // Now returns the current instant.
-func Now() Moment {
+func Now() Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		// Every supported kernel has this clock. Without it, leases would never expire on this machine; the latest
 		// instant makes all of them expired, so that none is held.
-		return Moment(1<<63 - 1)
+		return Instant(1<<63 - 1)
 	}
-	return Moment(t.Nano())
+	return Instant(t.Nano())
 }
 
 // Add returns the instant that is the span later.
-func (m Moment) Add(span time.Duration) Moment { return m + Moment(span) }
+func (m Instant) Add(span time.Duration) Instant { return m + Instant(span) }
 
 // Sub returns the time from the other instant to this one.
-func (m Moment) Sub(other Moment) time.Duration { return time.Duration(m - other) }
+func (m Instant) Sub(other Instant) time.Duration { return time.Duration(m - other) }
--- a/internal/operations/twdaemon/status.go
+++ b/internal/operations/twdaemon/status.go
@@ -21,7 +21,7 @@
 		Unrecorded:  d.claims.UnrecordedCount(),
 		Answered:    d.counterValue("requests.answered"),
 		Failed:      d.counterValue("requests.failed"),
-		Keeps:       d.ledServices(),
+		LedServices: d.ledServices(),
 	}
 	if document, ok := d.documents.Current(); ok {
 		s.Revision, s.Digest = document.Revision(), document.Digest()
--- a/internal/operations/twmeters/meters.go
+++ b/internal/operations/twmeters/meters.go
@@ -24,8 +24,8 @@
 // quantiles are the quantiles that are shown of each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// Meters holds a daemon's counters, gauges and latency histograms.
-type Meters struct {
+// Metrics holds a daemon's counters, gauges and latency histograms.
+type Metrics struct {
 	registry metrics.Registry
 	mu       sync.Mutex
 	// namesByPrefix holds, for each prefix, the names that its counters are split by.
@@ -33,13 +33,13 @@
 }
 
 // New returns meters without any metric.
-func New() *Meters {
+func New() *Metrics {
 	// Counters and histograms need none of the library's background timers, which serve rates.
-	return &Meters{registry: metrics.NewRegistry(), namesByPrefix: make(map[string]map[string]bool)}
+	return &Metrics{registry: metrics.NewRegistry(), namesByPrefix: make(map[string]map[string]bool)}
 }
 
 // Count adds n to the counter of that name.
-func (m *Meters) Count(name string, n int64) {
+func (m *Metrics) Count(name string, n int64) {
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(n)
 }
 
@@ -51,7 +51,7 @@
 
 // CountNamed adds n to the counter prefix_name. The number of names of a prefix is bounded, since callers or the
 // configuration choose them.
-func (m *Meters) CountNamed(prefix, name string, n int64) {
+func (m *Metrics) CountNamed(prefix, name string, n int64) {
 	m.mu.Lock()
 	names := m.namesByPrefix[prefix]
 	if names == nil {
@@ -67,25 +67,25 @@
 	m.Count(prefix+"_"+name, n)
 }
 
-// Observe adds one latency in milliseconds to the histogram of that name.
-func (m *Meters) Observe(name string, millis int64) {
+// ObserveMillis adds one latency in milliseconds to the histogram of that name.
+func (m *Metrics) ObserveMillis(name string, millis int64) {
 	m.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}).(metrics.Histogram).Update(millis)
 }
 
 // Gauge registers a gauge whose value is read each time the metrics are served.
-func (m *Meters) Gauge(name string, read func() int64) {
+func (m *Metrics) Gauge(name string, read func() int64) {
 	metrics.NewRegisteredFunctionalGauge(name, m.registry, read)
 }
 
 // ServeHTTP writes one line for each value, sorted by name, and the time of the answer in Unix milliseconds.
-func (m *Meters) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = io.WriteString(w, m.formatText())
 }
 
-func (m *Meters) formatText() string {
+func (m *Metrics) formatText() string {
 	var lines []string
 	m.registry.Each(func(name string, value any) {
 		switch v := value.(type) {
--- a/internal/operations/twmeters/meters_test.go
+++ b/internal/operations/twmeters/meters_test.go
@@ -17,7 +17,7 @@
 	m.Count("calls_answered", 1)
 	m.Gauge("calls_open", func() int64 { return 7 })
 	for i := range 100 {
-		m.Observe("latencyMillis_plain", int64(i))
+		m.ObserveMillis("latencyMillis_plain", int64(i))
 	}
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, nil)
--- a/internal/operations/twoperations/server.go
+++ b/internal/operations/twoperations/server.go
@@ -56,9 +56,9 @@
 	// Answered and Failed count the callers' requests since the start.
 	Answered int64 `json:"answered"`
 	Failed   int64 `json:"failed"`
-	// Keeps lists the engine services that the daemon leads.
-	Keeps []string     `json:"keeps"`
-	Peers []PeerStatus `json:"peers"`
+	// LedServices lists the engine services that the daemon leads.
+	LedServices []string     `json:"keeps"`
+	Peers       []PeerStatus `json:"peers"`
 }
 
 // PeerStatus is one live peer, as its last heartbeat described it.
@@ -85,7 +85,7 @@
 
 // Serve answers operators until ctx ends.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
-	return twserve.Until(ctx, s.server, listener)
+	return twserve.ServeUntilDone(ctx, s.server, listener)
 }
 
 func (s *Server) ready(c echo.Context) error {
--- a/internal/operations/twprogram/program.go
+++ b/internal/operations/twprogram/program.go
@@ -35,8 +35,8 @@
 	Commands any
 	// Bind returns the values that are passed to the commands; it is called after the flags are parsed.
 	Bind func() []any
-	// CodeOf returns the exit code of a command's error. If it is nil, the code is always ExitFailed.
-	CodeOf   func(error) int
+	// ExitCode returns the exit code of a command's error. If it is nil, the code is always ExitFailed.
+	ExitCode func(error) int
 	Out, Err io.Writer
 }
 
@@ -72,10 +72,10 @@
 }
 
 func (p *Program) exitCode(err error) int {
-	if p.config.CodeOf == nil {
+	if p.config.ExitCode == nil {
 		return ExitFailed
 	}
-	return p.config.CodeOf(err)
+	return p.config.ExitCode(err)
 }
 
 func (p *Program) reportError(err error, code int) int {
--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twordering/orders.go
@@ -125,7 +125,7 @@
 func (o *Orders) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	load, err := o.config.Upstreams.Load(ctx, change.Upstream)
+	load, err := o.config.Upstreams.FetchLoad(ctx, change.Upstream)
 	if err != nil {
 		return false, err
 	}
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -25,7 +25,7 @@
 	orderErr error
 }
 
-func (e *engines) Load(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
+func (e *engines) FetchLoad(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
 	return turmericwall.EngineLoad{Role: turmericwall.RolePrefill, OrderCount: 3}, nil
 }
 
--- a/turmericwallctl/internal/twcommand/command.go
+++ b/turmericwallctl/internal/twcommand/command.go
@@ -71,7 +71,7 @@
 		Description: description,
 		Commands:    commands,
 		Bind:        func() []any { return []any{&output{out: out, json: commands.JSON}} },
-		CodeOf:      exitCodeOf,
+		ExitCode:    exitCodeOf,
 		Out:         out,
 		Err:         errOut,
 	}).Run(arguments)
--- a/turmericwalld/internal/twcommand/command.go
+++ b/turmericwalld/internal/twcommand/command.go
@@ -45,7 +45,7 @@
 		Description: "The daemon of turmericwall. Exit codes: 0 success, 1 failure, 2 invalid flags or settings.",
 		Commands:    &Commands{},
 		Bind:        func() []any { return []any{&streams{out: out}} },
-		CodeOf:      exitCodeOf,
+		ExitCode:    exitCodeOf,
 		Out:         out,
 		Err:         errOut,
 	}).Run(arguments)
--- a/turmericwallstand/internal/twenginestand/engine.go
+++ b/turmericwallstand/internal/twenginestand/engine.go
@@ -193,7 +193,7 @@
 	tasks := twtask.New(ctx)
 	tasks.Start("prefill", e.runPrefill)
 	tasks.Start("reports", e.runReports)
-	tasks.Start("calls", func(ctx context.Context) error { return twserve.Until(ctx, e.server, listener) })
+	tasks.Start("calls", func(ctx context.Context) error { return twserve.ServeUntilDone(ctx, e.server, listener) })
 	return tasks.Wait()
 }
 
--- a/turmericwallstand/internal/twplatformstand/platform.go
+++ b/turmericwallstand/internal/twplatformstand/platform.go
@@ -81,7 +81,7 @@
 
 // Serve answers on the listener until ctx ends.
 func (p *Platform) Serve(ctx context.Context, listener net.Listener) error {
-	return twserve.Until(ctx, p.server, listener)
+	return twserve.ServeUntilDone(ctx, p.server, listener)
 }
 
 // SetVMs replaces the VMs; the list shows them after its lag.
--- a/turmericwallstand/internal/twservicestand/service.go
+++ b/turmericwallstand/internal/twservicestand/service.go
@@ -57,7 +57,7 @@
 
 // Serve answers on the listener until ctx ends.
 func (s *Service) Serve(ctx context.Context, listener net.Listener) error {
-	return twserve.Until(ctx, s.server, listener)
+	return twserve.ServeUntilDone(ctx, s.server, listener)
 }
 
 // ExecutedCalls returns the calls that took effect so far, in order.
--- a/turmericwallstand/internal/twsite/control.go
+++ b/turmericwallstand/internal/twsite/control.go
@@ -21,7 +21,7 @@
 	for i, address := range s.OperatorAddresses() {
 		var status twoperations.Status
 		if operatorsClient().ReadJSON(context.Background(), "http://"+address+"/status", &status) == nil &&
-			len(status.Keeps) > 0 {
+			len(status.LedServices) > 0 {
 			s.daemons[i].Kill()
 			return
 		}
--- a/upstreams.go
+++ b/upstreams.go
@@ -140,8 +140,8 @@
 	MoveRun(ctx context.Context, from, to Upstream, callID string) (export EngineExport, copied bool, err error)
 	// CachedPrompts queries which prompts are in an engine's prompt cache.
 	CachedPrompts(ctx context.Context, to Upstream) ([]CachedPrompt, error)
-	// Load queries an engine's state.
-	Load(ctx context.Context, to Upstream) (EngineLoad, error)
+	// FetchLoad queries an engine's state.
+	FetchLoad(ctx context.Context, to Upstream) (EngineLoad, error)
 	// ChangeRole sends a role order; accepted is false if the engine refused it.
 	ChangeRole(ctx context.Context, to Upstream, order RoleOrder) (accepted bool, err error)
 }
