--- a/internal/delivery/twrelay/failing_test.go
+++ b/internal/delivery/twrelay/failing_test.go
@@ -83,5 +83,5 @@
 	for _, end := range s.placer.ends {
 		g.Expect(end.FailedEngine).To(BeEmpty())
 	}
-	g.Expect(s.placer.ends).To(ContainElement(HaveField("Doubted", "p1")))
+	g.Expect(s.placer.ends).To(ContainElement(HaveField("SuspectedEngine", "p1")))
 }
