--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -184,7 +184,7 @@
 	// readsOnlyInRole limits reads of the store to a leader or a standby; lastReadAt is the time of the last read.
 	readsOnlyInRole bool
 	lastReadAt      time.Time
-	roleChanges     *twaway.Away
+	roleChanges     *twaway.RoleChanges
 	proof           *twproof.Proof
 }
 
--- a/internal/membership/twseeker/seeker.go
+++ b/internal/membership/twseeker/seeker.go
@@ -32,17 +32,17 @@
 	OnQueried func(useful bool)
 }
 
-// Seeker queries one peer at a time.
-type Seeker struct {
+// Discovery queries one peer at a time.
+type Discovery struct {
 	config Config
 	next   int
 }
 
 // New returns a seeker that starts with a random peer, so that many daemons do not all query the same one first.
-func New(config Config) *Seeker { return &Seeker{config: config, next: rand.IntN(1 << 10)} }
+func New(config Config) *Discovery { return &Discovery{config: config, next: rand.IntN(1 << 10)} }
 
 // Run queries peers whenever that is due, until ctx ends.
-func (s *Seeker) Run(ctx context.Context) error {
+func (s *Discovery) Run(ctx context.Context) error {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
@@ -58,7 +58,7 @@
 }
 
 // queryNext queries the next peer, and the leader that it names. It reports whether that was useful.
-func (s *Seeker) queryNext(ctx context.Context) bool {
+func (s *Discovery) queryNext(ctx context.Context) bool {
 	peers := s.candidates()
 	if len(peers) == 0 {
 		return false
@@ -79,7 +79,7 @@
 }
 
 // candidates returns the addresses that may be queried, each once.
-func (s *Seeker) candidates() []string {
+func (s *Discovery) candidates() []string {
 	var list []string
 	add := func(address string) {
 		if address != "" && address != s.config.Self && !slices.Contains(list, address) {
--- a/internal/placement/twaway/away.go
+++ b/internal/placement/twaway/away.go
@@ -9,11 +9,12 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Away are the engines that accepted a role change and don't report their new role yet. It is safe for concurrent use.
+// RoleChanges are the engines that accepted a role change and don't report their new role yet. It is safe for
+// concurrent use.
 //
 // These engines refuse all calls. Without the report, a peer that becomes the leader or places calls locally would
 // place every call on them first, since they look idle.
-type Away struct {
+type RoleChanges struct {
 	mu      sync.Mutex
 	engines map[string]change
 }
@@ -24,18 +25,18 @@
 }
 
 // New returns an Away without engines.
-func New() *Away { return &Away{engines: make(map[string]change)} }
+func New() *RoleChanges { return &RoleChanges{engines: make(map[string]change)} }
 
 // Add adds an engine that accepted a change to the role. The change is discarded after the deadline, even if the
 // engine never reports the role.
-func (r *Away) Add(id string, role turmericwall.Role, deadline time.Time) {
+func (r *RoleChanges) Add(id string, role turmericwall.Role, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.engines[id] = change{role: role, deadline: deadline}
 }
 
 // IsChangingRole reports whether the engine, with the role that it reports now, is changing its role.
-func (r *Away) IsChangingRole(now time.Time, engine turmericwall.Upstream) bool {
+func (r *RoleChanges) IsChangingRole(now time.Time, engine turmericwall.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c, ok := r.engines[engine.ID]
@@ -50,7 +51,7 @@
 }
 
 // List returns the role changes to report to peers, with the time left for each.
-func (r *Away) List(now time.Time) []turmericwall.ChangingEngine {
+func (r *RoleChanges) List(now time.Time) []turmericwall.ChangingEngine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []turmericwall.ChangingEngine
@@ -63,7 +64,7 @@
 }
 
 // AddReported adds the role changes that a peer reports.
-func (r *Away) AddReported(now time.Time, list []turmericwall.ChangingEngine) {
+func (r *RoleChanges) AddReported(now time.Time, list []turmericwall.ChangingEngine) {
 	for _, e := range list {
 		r.Add(e.ID, e.Role, now.Add(time.Duration(e.RemainingMillis)*time.Millisecond))
 	}
--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twbooks/books.go
@@ -66,9 +66,9 @@
 // it.
 const speedValidity = 3 * time.Second
 
-// Books allocates the engines of one service to calls. It has no clock, socket or goroutine of its own and is not safe
-// for concurrent use.
-type Books struct {
+// Allocator allocates the engines of one service to calls. It has no clock, socket or goroutine of its own and is not
+// safe for concurrent use.
+type Allocator struct {
 	tuning  Tuning
 	plan    turmericwall.EnginePlan
 	engines map[string]*engine
@@ -90,7 +90,7 @@
 	cacheHitShare   float64
 	cacheHitShareAt time.Time
 	// interference estimates how often a prefill on a decode engine delays the engine's streams.
-	interference *twpauses.Pauses
+	interference *twpauses.Interference
 	// prefillShortage and decodeShortage record the calls that found no engine of the role in time.
 	prefillShortage, decodeShortage shortage
 	// cost is the mean engine time that a call takes.
@@ -132,8 +132,8 @@
 }
 
 // New returns an allocator without engines and calls.
-func New(tuning Tuning) *Books {
-	return &Books{
+func New(tuning Tuning) *Allocator {
+	return &Allocator{
 		tuning: tuning, engines: make(map[string]*engine), engineByCall: make(map[string]string),
 		callers: newCallers(), interference: twpauses.New(), cacheHitShare: initialCacheHitShare, cost: twcost.New(),
 		ejections:        twejection.New(),
@@ -142,11 +142,11 @@
 }
 
 // SetPlan sets the limits of one engine as the operator configured them.
-func (a *Books) SetPlan(plan turmericwall.EnginePlan) { a.plan = plan }
+func (a *Allocator) SetPlan(plan turmericwall.EnginePlan) { a.plan = plan }
 
 // SetEngines replaces the list of engines. The calls on engines that are no longer listed, or that were restarted, are
 // released.
-func (a *Books) SetEngines(now time.Time, upstreams []turmericwall.Upstream) {
+func (a *Allocator) SetEngines(now time.Time, upstreams []turmericwall.Upstream) {
 	seen := make(map[string]bool, len(upstreams))
 	for _, u := range upstreams {
 		seen[u.ID] = true
@@ -167,7 +167,7 @@
 
 // Enqueue adds a call that waits for its placement. The target deadline of a retry is counted from the caller's first
 // attempt.
-func (a *Books) Enqueue(now time.Time, request turmericwall.PlaceRequest) {
+func (a *Allocator) Enqueue(now time.Time, request turmericwall.PlaceRequest) {
 	if request.Moving {
 		a.waiting = append(a.waiting, &waitingCall{request: request, enqueuedAt: now})
 		return
@@ -184,7 +184,7 @@
 }
 
 // Withdraw removes a waiting call or releases a placed one.
-func (a *Books) Withdraw(id string) {
+func (a *Allocator) Withdraw(id string) {
 	for i, w := range a.waiting {
 		if w.request.ID == id {
 			a.waiting = append(a.waiting[:i], a.waiting[i+1:]...)
@@ -195,7 +195,7 @@
 }
 
 // ReleaseOwner removes the waiting and the placed calls of a daemon that has terminated.
-func (a *Books) ReleaseOwner(owner string) {
+func (a *Allocator) ReleaseOwner(owner string) {
 	kept := a.waiting[:0]
 	for _, w := range a.waiting {
 		if w.request.Owner != owner {
@@ -211,7 +211,7 @@
 }
 
 // ReleaseOtherOwners releases the placed calls of all daemons but this one.
-func (a *Books) ReleaseOtherOwners(owner string) {
+func (a *Allocator) ReleaseOtherOwners(owner string) {
 	for id, at := range a.engineByCall {
 		if r := a.engines[at].runs[id]; r.owner != owner {
 			a.release(id)
@@ -220,7 +220,7 @@
 }
 
 // Adopt adds a call that was placed by another daemon. Calls on unknown engines are ignored.
-func (a *Books) Adopt(now time.Time, placed turmericwall.PlacedCall) {
+func (a *Allocator) Adopt(now time.Time, placed turmericwall.PlacedCall) {
 	e, ok := a.engines[placed.Engine]
 	if !ok || a.engineByCall[placed.Request.ID] != "" {
 		return
@@ -239,7 +239,7 @@
 
 // Sweep releases the calls whose longest answer must have ended, because the daemon that served them did not report
 // their end.
-func (a *Books) Sweep(now time.Time) {
+func (a *Allocator) Sweep(now time.Time) {
 	for id, at := range a.engineByCall {
 		r := a.engines[at].runs[id]
 		longestMillis := float64(max(r.work.MaxTokens, r.work.HintTokens)) / a.decodeSpeed
@@ -251,7 +251,7 @@
 
 // ApplyUpdate applies a report on a placed call: a failed or full engine, the end of its prefill, a pause of its stream
 // or its end.
-func (a *Books) ApplyUpdate(now time.Time, end turmericwall.PlacementUpdate) {
+func (a *Allocator) ApplyUpdate(now time.Time, end turmericwall.PlacementUpdate) {
 	if e, ok := a.engines[end.FullEngine]; ok {
 		e.fullRefusals = min(e.fullRefusals+1, 4)
 		e.backoffUntil = now.Add(millis(a.tuning.FullBackoffMillis * float64(e.fullRefusals)))
@@ -281,15 +281,15 @@
 
 // SetPartial sets whether other daemons place calls on the same engines without this allocator. Prefill speeds are not
 // measured then, because the other daemons' prompts delay the measured ones.
-func (a *Books) SetPartial(partial bool) { a.partial = partial }
+func (a *Allocator) SetPartial(partial bool) { a.partial = partial }
 
 // Waiting returns the number of waiting calls.
-func (a *Books) Waiting() int { return len(a.waiting) }
+func (a *Allocator) Waiting() int { return len(a.waiting) }
 
 // Busy reports whether calls are placed or waiting.
-func (a *Books) Busy() bool { return len(a.engineByCall)+len(a.waiting) > 0 }
+func (a *Allocator) Busy() bool { return len(a.engineByCall)+len(a.waiting) > 0 }
 
-func (a *Books) release(id string) {
+func (a *Allocator) release(id string) {
 	at, ok := a.engineByCall[id]
 	if !ok {
 		return
@@ -300,7 +300,7 @@
 	delete(a.engineByCall, id)
 }
 
-func (a *Books) removeEngine(id string) {
+func (a *Allocator) removeEngine(id string) {
 	e, ok := a.engines[id]
 	if !ok {
 		return
--- a/internal/placement/twbooks/books_test.go
+++ b/internal/placement/twbooks/books_test.go
@@ -34,7 +34,7 @@
 	return list
 }
 
-func newAllocator(prefills, decodes int) *twbooks.Books {
+func newAllocator(prefills, decodes int) *twbooks.Allocator {
 	a := twbooks.New(twbooks.DefaultTuning())
 	a.SetPlan(enginePlan())
 	a.SetEngines(start, engines(prefills, decodes))
@@ -262,7 +262,7 @@
 
 // simulation replays a load on engines with fixed prefill and decode speeds and counts the outcomes.
 type simulation struct {
-	allocator     *twbooks.Books
+	allocator     *twbooks.Allocator
 	now           time.Time
 	prefillEndsAt map[string]time.Time
 	startedAt     map[string]time.Time
--- a/internal/placement/twbooks/choose.go
+++ b/internal/placement/twbooks/choose.go
@@ -8,7 +8,7 @@
 )
 
 // fastestPrefill returns the prefill engine that would finish the prompt first, and how many milliseconds that takes.
-func (a *Books) fastestPrefill(st *decisionState, request turmericwall.PlaceRequest) (*engine, float64) {
+func (a *Allocator) fastestPrefill(st *decisionState, request turmericwall.PlaceRequest) (*engine, float64) {
 	var best *engine
 	bestMillis := math.Inf(1)
 	for _, e := range st.prefills {
@@ -29,7 +29,7 @@
 // leastFilledDecode returns the decode engine whose projected peak of memory is lowest with the call; nil when the call
 // fits on none. startOn returns in how many milliseconds the answer would begin on an engine, and whether the engine
 // can be used at all. prefillEngine is nil when the decode engine does the prefill itself.
-func (a *Books) leastFilledDecode(
+func (a *Allocator) leastFilledDecode(
 	st *decisionState, request turmericwall.PlaceRequest, prefillEngine *engine, startOn func(*engine) (float64, bool),
 ) *engine {
 	demand := a.forecast(request)
@@ -67,7 +67,7 @@
 
 // decodeAfterPrefill returns the decode engine for a prompt whose prefill on another engine ends in startMillis; nil
 // when the call fits on none.
-func (a *Books) decodeAfterPrefill(
+func (a *Allocator) decodeAfterPrefill(
 	st *decisionState, request turmericwall.PlaceRequest, prefillEngine *engine, startMillis float64,
 ) *engine {
 	best := a.leastFilledDecode(st, request, prefillEngine, func(*engine) (float64, bool) { return startMillis, true })
@@ -99,7 +99,7 @@
 
 // acceptsCall reports whether the engine may get the call: it is not leaving, ejected or in back-off, and has not
 // failed the call before.
-func (a *Books) acceptsCall(now time.Time, e *engine, request turmericwall.PlaceRequest) bool {
+func (a *Allocator) acceptsCall(now time.Time, e *engine, request turmericwall.PlaceRequest) bool {
 	if e.upstream.Leaving || e.ejected || now.Before(e.backoffUntil) {
 		return false
 	}
@@ -112,7 +112,7 @@
 }
 
 // slotLimit returns how many calls the engine runs at once: its own statement, or else the operator's plan.
-func (a *Books) slotLimit(e *engine) int {
+func (a *Allocator) slotLimit(e *engine) int {
 	if e.upstream.Slots > 0 {
 		return e.upstream.Slots
 	}
--- a/internal/placement/twbooks/decide.go
+++ b/internal/placement/twbooks/decide.go
@@ -27,7 +27,7 @@
 }
 
 // Decide places the waiting calls that fit, refuses those that can't be on time, and keeps the others waiting.
-func (a *Books) Decide(now time.Time) Decisions {
+func (a *Allocator) Decide(now time.Time) Decisions {
 	var d Decisions
 	if len(a.waiting) == 0 {
 		return d
@@ -59,7 +59,7 @@
 // Projecting every engine for each call took 5.2 ms per decision with 60 waiting calls and 15 full engines, which left
 // a leader no processor time for its heartbeats. Projections are therefore reused while their engine's runs stay the
 // same.
-func (a *Books) newDecisionState(now time.Time) *decisionState {
+func (a *Allocator) newDecisionState(now time.Time) *decisionState {
 	st := &decisionState{now: now}
 	for _, e := range a.engines {
 		switch e.upstream.Role {
@@ -95,7 +95,7 @@
 const maxEjectedShare = 0.4
 
 // markEjected marks the engines that get no calls because calls failed there.
-func (a *Books) markEjected(now time.Time, engines []*engine) {
+func (a *Allocator) markEjected(now time.Time, engines []*engine) {
 	remaining := int(maxEjectedShare * float64(len(engines)))
 	for _, e := range engines {
 		e.ejected = remaining > 0 && a.ejections.IsEjected(now, e.upstream.ID)
@@ -106,7 +106,7 @@
 }
 
 // recordPlacement records that a call was placed on the engines: an ejected engine gets one trial call at a time.
-func (a *Books) recordPlacement(now time.Time, engines ...*engine) {
+func (a *Allocator) recordPlacement(now time.Time, engines ...*engine) {
 	for _, e := range engines {
 		a.ejections.RecordTrial(now, e.upstream.ID)
 		e.ejected = e.ejected || a.ejections.IsEjected(now, e.upstream.ID)
@@ -127,7 +127,7 @@
 }
 
 // sortWaiting sorts the waiting calls: those that can be on time first, then by priority, then by target deadline.
-func (a *Books) sortWaiting(now time.Time) {
+func (a *Allocator) sortWaiting(now time.Time) {
 	for _, w := range a.waiting {
 		fastest := float64(w.request.Work.PromptTokens)/a.poolPrefillSpeed(now) + a.tuning.FirstEventMarginMillis
 		w.late = now.Add(millis(fastest)).After(w.request.TargetDeadline)
@@ -146,7 +146,7 @@
 
 // place chooses the engines for one call and reserves their memory. A call is placed only where its first event can be
 // on time, unless it is late already: a late answer would take memory that another call needs to be on time.
-func (a *Books) place(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
+func (a *Allocator) place(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
 	if w.request.Moving {
 		return a.placeMovingRun(st, w)
 	}
@@ -179,7 +179,7 @@
 }
 
 // placeMovingRun chooses a decode engine for a run whose engine is leaving. The run's prompt has been prefilled.
-func (a *Books) placeMovingRun(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
+func (a *Allocator) placeMovingRun(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
 	decode := a.decodeAfterPrefill(st, w.request, nil, 0)
 	if decode == nil {
 		return turmericwall.Placement{}, false
@@ -195,7 +195,7 @@
 
 // meetsTarget reports whether the first event can be on time when the prefill ends in prefillMillis. For a late call it
 // reports whether the wait at the engine is so short that the call hardly delays others.
-func (a *Books) meetsTarget(now time.Time, w *waitingCall, prefillMillis float64) bool {
+func (a *Allocator) meetsTarget(now time.Time, w *waitingCall, prefillMillis float64) bool {
 	if w.late {
 		return prefillMillis-float64(w.request.Work.PromptTokens)/a.poolPrefillSpeed(now) < a.tuning.LatePrefillWaitMillis
 	}
@@ -203,13 +203,13 @@
 }
 
 // prefillMillis returns in how many milliseconds the engine would finish the call's prompt, its backlog included.
-func (a *Books) prefillMillis(now time.Time, e *engine, request turmericwall.PlaceRequest) float64 {
+func (a *Allocator) prefillMillis(now time.Time, e *engine, request turmericwall.PlaceRequest) float64 {
 	speed := a.prefillSpeedOf(now, e)
 	return (e.pendingPrefillTokens(now, speed)+float64(request.Work.PromptTokens))/speed + prefillOverheadMillis
 }
 
 // reserve records a placed call on its engines. prefillEngine is decode when the decode engine does the prefill itself.
-func (a *Books) reserve(
+func (a *Allocator) reserve(
 	st *decisionState, w *waitingCall, decode, prefillEngine *engine, prefillMillis float64,
 ) turmericwall.Placement {
 	request := w.request
@@ -239,7 +239,7 @@
 }
 
 // forecast returns the memory that the call will need once its prompt is prefilled.
-func (a *Books) forecast(request turmericwall.PlaceRequest) forecast {
+func (a *Allocator) forecast(request turmericwall.PlaceRequest) forecast {
 	return forecastOf(request.Work, 0, a.tuning.LengthQuantile)
 }
 
--- a/internal/placement/twbooks/kept.go
+++ b/internal/placement/twbooks/kept.go
@@ -10,7 +10,7 @@
 //
 // When a daemon is killed, all its callers retry at once at other daemons. If their prompts were prefilled again, they
 // would queue before the prompts of new calls and all of them would be late.
-func (a *Books) placeOnCachedPrompt(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
+func (a *Allocator) placeOnCachedPrompt(st *decisionState, w *waitingCall) (turmericwall.Placement, bool) {
 	e, tokens := a.engineWithPrompt(st, w.request)
 	if e == nil || !a.acceptsCall(st.now, e, w.request) || len(e.runs) >= a.slotLimit(e) {
 		return turmericwall.Placement{}, false
@@ -36,7 +36,7 @@
 
 // engineWithPrompt returns the decode engine that still has the call's prompt in its cache, and how many tokens of it;
 // nil when there is none.
-func (a *Books) engineWithPrompt(st *decisionState, request turmericwall.PlaceRequest) (*engine, int) {
+func (a *Allocator) engineWithPrompt(st *decisionState, request turmericwall.PlaceRequest) (*engine, int) {
 	if !a.promptsStayCached(st.now) {
 		return nil, 0
 	}
@@ -54,7 +54,7 @@
 
 // promptEvicted reports whether the engine must have evicted the caller's prompt. Engines evict the least recently used
 // prompts for new runs, and since the prompt's last use more was allocated than fits beside the runs of that time.
-func (a *Books) promptEvicted(st *decisionState, e *engine, known caller) bool {
+func (a *Allocator) promptEvicted(st *decisionState, e *engine, known caller) bool {
 	held := 0.0
 	for _, r := range e.runs {
 		if r.placedAt.Before(known.lastUsedAt) {
@@ -65,7 +65,7 @@
 }
 
 // RecordCachedPrompts records the cached prompts that an engine reports. Reports of another incarnation are ignored.
-func (a *Books) RecordCachedPrompts(
+func (a *Allocator) RecordCachedPrompts(
 	now time.Time, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt,
 ) {
 	e, ok := a.engines[engine.ID]
@@ -89,7 +89,7 @@
 )
 
 // promptsStayCached reports whether engines are expected to keep prompts in their caches.
-func (a *Books) promptsStayCached(now time.Time) bool {
+func (a *Allocator) promptsStayCached(now time.Time) bool {
 	if a.cacheHitShare < minCacheHitShare && now.Sub(a.cacheHitShareAt) > cacheRetryInterval {
 		a.cacheHitShare = initialCacheHitShare
 	}
@@ -98,7 +98,7 @@
 
 // recordCacheOutcome records whether the engine had the prompt in its cache. Full engines evict cached prompts for new
 // runs.
-func (a *Books) recordCacheOutcome(now time.Time, r *run, end turmericwall.PlacementUpdate) {
+func (a *Allocator) recordCacheOutcome(now time.Time, r *run, end turmericwall.PlacementUpdate) {
 	hit := 0.0
 	if float64(end.PrefillMillis) <
 		cacheMissShare*float64(r.work.PromptTokens)/a.bestPrefillSpeed*a.tuning.LocalPrefillSlowdown {
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twbooks/kept_test.go
@@ -13,7 +13,7 @@
 
 // allocatorAfterCrash returns an allocator whose engines answered calls of the given number of callers until their
 // daemon was killed. Their first events arrived at start.
-func allocatorAfterCrash(g *WithT, callers int) *twbooks.Books {
+func allocatorAfterCrash(g *WithT, callers int) *twbooks.Allocator {
 	a := newAllocator(1, 4)
 	for i := range callers {
 		call := placeRequest(fmt.Sprint("c", i), start, 5000, 2000)
--- a/internal/placement/twbooks/ownread.go
+++ b/internal/placement/twbooks/ownread.go
@@ -11,7 +11,7 @@
 //
 // It is used when prompts arrive faster than the prefill engines process them, after the loss of some or when many
 // callers retry at once, while the decode engines have free memory. Refused callers would retry into the same queue.
-func (a *Books) localPrefillEngine(st *decisionState, w *waitingCall) (*engine, float64) {
+func (a *Allocator) localPrefillEngine(st *decisionState, w *waitingCall) (*engine, float64) {
 	decode := a.leastFilledDecode(st, w.request, nil, func(e *engine) (float64, bool) {
 		prefillMillis := a.prefillMillis(st.now, e, w.request)
 		return prefillMillis, a.meetsTarget(st.now, w, prefillMillis) && a.toleratesLocalPrefill(st.now, e, w)
@@ -25,7 +25,7 @@
 // toleratesLocalPrefill reports whether a decode engine may prefill the prompt beside its streams: either no stream
 // pauses too long, or so few are expected to that refusing the call would be worse. A late call may not delay any
 // stream.
-func (a *Books) toleratesLocalPrefill(now time.Time, e *engine, w *waitingCall) bool {
+func (a *Allocator) toleratesLocalPrefill(now time.Time, e *engine, w *waitingCall) bool {
 	if a.prefillFitsEventGap(now, e, w.request) {
 		return true
 	}
@@ -38,7 +38,7 @@
 // An engine with large chunks prefills nearly the whole prompt before the next token, so that the next event of every
 // stream waits for it: 260 ms for 6,000 tokens where 300 ms are allowed. A second prompt at the same time makes all of
 // them late.
-func (a *Books) prefillFitsEventGap(now time.Time, e *engine, request turmericwall.PlaceRequest) bool {
+func (a *Allocator) prefillFitsEventGap(now time.Time, e *engine, request turmericwall.PlaceRequest) bool {
 	if len(e.runs) == 0 || request.EventGapMillis <= 0 {
 		return true
 	}
@@ -49,7 +49,7 @@
 }
 
 // watchStreams starts observing the streams that the prefill may delay.
-func (a *Books) watchStreams(now time.Time, e *engine, request turmericwall.PlaceRequest, prefillMillis float64) {
+func (a *Allocator) watchStreams(now time.Time, e *engine, request turmericwall.PlaceRequest, prefillMillis float64) {
 	if a.prefillFitsEventGap(now, e, request) {
 		return
 	}
--- a/internal/placement/twbooks/refuse.go
+++ b/internal/placement/twbooks/refuse.go
@@ -21,7 +21,7 @@
 
 // refuse returns the refusal of a call that was not placed, and false when the call may still be on time and keeps
 // waiting. callsAhead is how many calls wait before it.
-func (a *Books) refuse(st *decisionState, w *waitingCall, callsAhead int) (Refusal, bool) {
+func (a *Allocator) refuse(st *decisionState, w *waitingCall, callsAhead int) (Refusal, bool) {
 	if a.plan.MemoryTokens > 0 && w.request.Work.PromptTokens >= a.plan.MemoryTokens {
 		return Refusal{ID: w.request.ID, Reason: "the prompt exceeds an engine's memory", Permanent: true}, true
 	}
@@ -78,7 +78,7 @@
 //
 // Callers that are refused together and retry together would be refused again. Their retry times are spread over the
 // time that the engines need for so many runs, after the callers that were refused before.
-func (a *Books) scheduleRetry(st *decisionState, w *waitingCall, availableAt time.Time) time.Time {
+func (a *Allocator) scheduleRetry(st *decisionState, w *waitingCall, availableAt time.Time) time.Time {
 	kept := a.retryTimes[:0]
 	for _, at := range a.retryTimes {
 		if at.After(st.now) {
@@ -98,7 +98,7 @@
 }
 
 // retryRate returns how many retries the engines can serve beside new calls, in calls per millisecond.
-func (a *Books) retryRate(st *decisionState) float64 {
+func (a *Allocator) retryRate(st *decisionState) float64 {
 	if len(st.runEnds) == 0 {
 		return idleRetryRate
 	}
--- a/internal/placement/twbooks/shortage.go
+++ b/internal/placement/twbooks/shortage.go
@@ -38,7 +38,7 @@
 func (s *shortage) hasEnded(now time.Time) bool { return now.Sub(s.lastAt) > minSurplusSpan }
 
 // EngineDemand returns the shortage and surplus of each role and the mean cost of a call.
-func (a *Books) EngineDemand(now time.Time) turmericwall.EngineDemand {
+func (a *Allocator) EngineDemand(now time.Time) turmericwall.EngineDemand {
 	need := turmericwall.EngineDemand{
 		Busy: a.Busy(),
 		Prefill: turmericwall.RoleDemand{
--- a/internal/placement/twbooks/speeds.go
+++ b/internal/placement/twbooks/speeds.go
@@ -8,7 +8,7 @@
 )
 
 // recordAnswer updates the decode speed of all engines and of the one that answered.
-func (a *Books) recordAnswer(end turmericwall.PlacementUpdate) {
+func (a *Allocator) recordAnswer(end turmericwall.PlacementUpdate) {
 	speed := float64(end.AnswerTokens) / float64(end.AnswerMillis)
 	a.decodeSpeed = movingAverage(a.decodeSpeed, speed)
 	a.cost.RecordAnswer(float64(end.AnswerTokens), float64(end.AnswerMillis))
@@ -21,7 +21,7 @@
 
 // decodeSpeedOf returns the speed of one answer on the engine, in tokens per millisecond. Engines of one service differ
 // by a third; with one speed for all, the slow ones ran out of memory three times as often as the others.
-func (a *Books) decodeSpeedOf(e *engine) float64 {
+func (a *Allocator) decodeSpeedOf(e *engine) float64 {
 	if e.decodeSpeed > 0 {
 		return e.decodeSpeed
 	}
@@ -29,7 +29,7 @@
 }
 
 // recordPrefill records that the prefill has ended and the answer begins.
-func (a *Books) recordPrefill(now time.Time, end turmericwall.PlacementUpdate) {
+func (a *Allocator) recordPrefill(now time.Time, end turmericwall.PlacementUpdate) {
 	engineID, ok := a.engineByCall[end.ID]
 	if !ok {
 		return
@@ -77,7 +77,7 @@
 //
 // A speed that was measured while the engine was slow would keep calls away from it, and without calls it would never
 // be measured again. Measurements older than speedValidity are therefore ignored and the best speed so far is assumed.
-func (a *Books) prefillSpeedOf(now time.Time, e *engine) float64 {
+func (a *Allocator) prefillSpeedOf(now time.Time, e *engine) float64 {
 	if e.prefillSpeed > 0 && now.Sub(e.lastPrefillAt) < speedValidity {
 		return e.prefillSpeed
 	}
@@ -88,7 +88,7 @@
 }
 
 // poolPrefillSpeed returns the speed of a prefill engine without a recent measurement, in tokens per millisecond.
-func (a *Books) poolPrefillSpeed(now time.Time) float64 {
+func (a *Allocator) poolPrefillSpeed(now time.Time) float64 {
 	if now.Sub(a.prefillSpeedAt) < speedValidity {
 		return a.prefillSpeed
 	}
@@ -96,7 +96,7 @@
 }
 
 // updatePoolSpeed applies the speed measured at one engine to those without a measurement.
-func (a *Books) updatePoolSpeed(now time.Time, e *engine) {
+func (a *Allocator) updatePoolSpeed(now time.Time, e *engine) {
 	speed := e.prefillSpeed
 	if speed <= 0 {
 		return
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -46,7 +46,7 @@
 
 // serviceState is one service's allocator and the calls that wait for a decision.
 type serviceState struct {
-	allocator *twbooks.Books
+	allocator *twbooks.Allocator
 	pending   map[string]chan decision
 	timer     *time.Timer
 	// lastDecisionAt is when the allocator last decided.
--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twordering/orders.go
@@ -35,8 +35,8 @@
 	Recorder turmericwall.Recorder
 }
 
-// Orders plans and orders the role changes of all services.
-type Orders struct {
+// Sender plans and orders the role changes of all services.
+type Sender struct {
 	config Config
 	// mu guards planners: calls are placed while orders are sent.
 	mu       sync.Mutex
@@ -44,12 +44,12 @@
 }
 
 // New returns orders; none is sent before Run.
-func New(config Config) *Orders {
-	return &Orders{config: config, planners: make(map[string]*twroles.Planner)}
+func New(config Config) *Sender {
+	return &Sender{config: config, planners: make(map[string]*twroles.Planner)}
 }
 
 // Run sends the orders that are due until ctx is done. Without the lease it discards its plans.
-func (o *Orders) Run(ctx context.Context) error {
+func (o *Sender) Run(ctx context.Context) error {
 	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (o *Orders) orderChanges(ctx context.Context, service turmericwall.ServicePlan) {
+func (o *Sender) orderChanges(ctx context.Context, service turmericwall.ServicePlan) {
 	for _, change := range o.planChanges(service) {
 		accepted, err := o.sendOrder(ctx, change)
 		o.recordOutcome(service.Name, change, accepted, err)
@@ -93,7 +93,7 @@
 
 // planChanges reads the engines and the need before it locks mu. Placement holds a lock that Need waits for while it
 // checks which engines are changing their role.
-func (o *Orders) planChanges(service turmericwall.ServicePlan) []twroles.Change {
+func (o *Sender) planChanges(service turmericwall.ServicePlan) []twroles.Change {
 	engines, need := o.config.Engines(service.Name), o.config.EngineDemand(service.Name)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,7 +107,7 @@
 
 // recordOutcome records whether the engine accepted the order. An order without a reply may still be carried out
 // seconds later: the planner keeps counting the engine as changing, but the engine continues to get calls.
-func (o *Orders) recordOutcome(service string, change twroles.Change, accepted bool, err error) {
+func (o *Sender) recordOutcome(service string, change twroles.Change, accepted bool, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	planner, ok := o.planners[service]
@@ -122,7 +122,7 @@
 
 // sendOrder sends one order. It first reads how many orders the engine has accepted and sends that number along, so
 // that the engine refuses an order that arrives late, after another one.
-func (o *Orders) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
+func (o *Sender) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	load, err := o.config.Upstreams.FetchLoad(ctx, change.Upstream)
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -20,7 +20,7 @@
 type engines struct {
 	turmericwall.UpstreamClient
 	orders      chan turmericwall.RoleOrder
-	roleChanges *twaway.Away
+	roleChanges *twaway.RoleChanges
 	// orderErr is returned for each order.
 	orderErr error
 }
--- a/internal/placement/twpauses/pauses.go
+++ b/internal/placement/twpauses/pauses.go
@@ -21,12 +21,12 @@
 	observationSpan = 300 * time.Millisecond
 )
 
-// Pauses counts the streams whose engine did a prefill at the same time, and those of them that paused too long. It has
-// no clock of its own and is not safe for concurrent use.
+// Interference counts the streams whose engine did a prefill at the same time, and those of them that paused too long.
+// It has no clock of its own and is not safe for concurrent use.
 //
 // How long a stream pauses depends on the size of the engine's prefill chunks, which engines don't report: some prefill
 // so much at once that each stream waits for the whole prompt, others hardly pause.
-type Pauses struct {
+type Interference struct {
 	// streamWeight is the weighted number of evaluated streams, lateWeight that of the late ones.
 	streamWeight, lateWeight float64
 	evaluated                int
@@ -35,20 +35,20 @@
 }
 
 // New returns the prior estimate without streams.
-func New() *Pauses {
-	return &Pauses{
+func New() *Interference {
+	return &Interference{
 		streamWeight: priorStreams, lateWeight: priorLateShare * priorStreams, watched: make(map[string]time.Time),
 	}
 }
 
 // Watch observes a stream whose engine does a prefill until prefillEndsAt.
-func (i *Pauses) Watch(stream string, prefillEndsAt time.Time) {
+func (i *Interference) Watch(stream string, prefillEndsAt time.Time) {
 	i.watched[stream] = prefillEndsAt.Add(observationSpan)
 }
 
 // RecordPause records that a stream paused too long. It is ignored for a stream that is not observed, since the pause
 // has another cause.
-func (i *Pauses) RecordPause(stream string) {
+func (i *Interference) RecordPause(stream string) {
 	if _, ok := i.watched[stream]; !ok {
 		return
 	}
@@ -57,12 +57,12 @@
 }
 
 // Unwatch ends the observation of a stream that has ended.
-func (i *Pauses) Unwatch(stream string) { delete(i.watched, stream) }
+func (i *Interference) Unwatch(stream string) { delete(i.watched, stream) }
 
 // LateShare returns the share of the streams that is expected to pause too long, 0 to 1. It returns 1 while few streams
 // have been evaluated and maxTrialStreams are observed, so that a few trials show the effect before many streams are
 // late.
-func (i *Pauses) LateShare(now time.Time) float64 {
+func (i *Interference) LateShare(now time.Time) float64 {
 	for stream, until := range i.watched {
 		if now.After(until) {
 			delete(i.watched, stream)
@@ -75,7 +75,7 @@
 	return i.lateWeight / i.streamWeight
 }
 
-func (i *Pauses) record(late bool) {
+func (i *Interference) record(late bool) {
 	i.evaluated++
 	i.streamWeight = streamDecay*i.streamWeight + 1
 	i.lateWeight *= streamDecay
