--- a/internal/placement/twbooks/books.go
+++ b/internal/placement/twallocator/allocator.go
@@ -1,7 +1,7 @@
-// Package twbooks places the model calls of one service on its prefill and decode engines. It projects the memory and
-// the prefill backlog of each engine and decides which calls are placed, which wait and which are refused. Package
+// Package twallocator places the model calls of one service on its prefill and decode engines. It projects the memory
+// and the prefill backlog of each engine and decides which calls are placed, which wait and which are refused. Package
 // twcoordinator drives it for every model call before the call is sent to an engine.
-package twbooks
+package twallocator
 
 import (
 	"math"
--- a/internal/placement/twbooks/books_test.go
+++ b/internal/placement/twallocator/allocator_test.go
@@ -1,4 +1,4 @@
-package twbooks_test
+package twallocator_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 var start = time.Unix(10_000, 0)
@@ -34,8 +34,8 @@
 	return list
 }
 
-func newAllocator(prefills, decodes int) *twbooks.Allocator {
-	a := twbooks.New(twbooks.DefaultTuning())
+func newAllocator(prefills, decodes int) *twallocator.Allocator {
+	a := twallocator.New(twallocator.DefaultTuning())
 	a.SetPlan(enginePlan())
 	a.SetEngines(start, engines(prefills, decodes))
 	return a
@@ -262,7 +262,7 @@
 
 // simulation replays a load on engines with fixed prefill and decode speeds and counts the outcomes.
 type simulation struct {
-	allocator     *twbooks.Allocator
+	allocator     *twallocator.Allocator
 	now           time.Time
 	prefillEndsAt map[string]time.Time
 	startedAt     map[string]time.Time
--- a/internal/placement/twbooks/bench_test.go
+++ b/internal/placement/twallocator/bench_test.go
@@ -1,4 +1,4 @@
-package twbooks_test
+package twallocator_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 // BenchmarkDecide15Engines makes one decision after the end of one call, while 15 decode engines are full and 60 calls
@@ -20,9 +20,9 @@
 func BenchmarkDecide50Engines(b *testing.B) { benchmarkDecide(b, 50, 9) }
 
 func benchmarkDecide(b *testing.B, decodes, runs int) {
-	tuning := twbooks.DefaultTuning()
+	tuning := twallocator.DefaultTuning()
 	tuning.MaxWaitMillis = 1e7
-	allocator := twbooks.New(tuning)
+	allocator := twallocator.New(tuning)
 	allocator.SetPlan(enginePlan())
 	allocator.SetEngines(start, engines(3, decodes))
 	id := func(i, j int) string { return fmt.Sprintf("r%d-%d", i, j) }
--- a/internal/placement/twbooks/decide.go
+++ b/internal/placement/twallocator/decide.go
@@ -1,4 +1,4 @@
-package twbooks
+package twallocator
 
 import (
 	"math"
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twallocator/promptcache_test.go
@@ -1,4 +1,4 @@
-package twbooks_test
+package twallocator_test
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 // allocatorAfterCrash returns an allocator whose engines answered calls of the given number of callers until their
 // daemon was killed. Their first events arrived at start.
-func allocatorAfterCrash(g *WithT, callers int) *twbooks.Allocator {
+func allocatorAfterCrash(g *WithT, callers int) *twallocator.Allocator {
 	a := newAllocator(1, 4)
 	for i := range callers {
 		call := placeRequest(fmt.Sprint("c", i), start, 5000, 2000)
--- a/internal/placement/twbooks/comeback_test.go
+++ b/internal/placement/twallocator/retry_test.go
@@ -1,4 +1,4 @@
-package twbooks_test
+package twallocator_test
 
 import (
 	"fmt"
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 // Config holds the inputs of a coordinator.
 type Config struct {
 	// Tuning is passed to the allocator of each service.
-	Tuning twbooks.Tuning
+	Tuning twallocator.Tuning
 	// Upstreams returns the known upstreams of a service.
 	Upstreams func(service string) []turmericwall.Upstream
 	// ChangingRole reports whether an engine is changing its role and takes no calls.
@@ -46,7 +46,7 @@
 
 // serviceState is one service's allocator and the calls that wait for a decision.
 type serviceState struct {
-	allocator *twbooks.Allocator
+	allocator *twallocator.Allocator
 	pending   map[string]chan decision
 	timer     *time.Timer
 	// lastDecisionAt is when the allocator last decided.
@@ -66,7 +66,7 @@
 // decision is the outcome for one call; refusal is nil when the call was placed.
 type decision struct {
 	placement turmericwall.Placement
-	refusal   *twbooks.Refusal
+	refusal   *twallocator.Refusal
 }
 
 // New returns a coordinator without allocators. A service's allocator is created with its first call.
@@ -331,7 +331,7 @@
 func (c *Coordinator) service(name string) *serviceState {
 	s, ok := c.services[name]
 	if !ok {
-		s = &serviceState{allocator: twbooks.New(c.config.Tuning), pending: make(map[string]chan decision)}
+		s = &serviceState{allocator: twallocator.New(c.config.Tuning), pending: make(map[string]chan decision)}
 		c.services[name] = s
 	}
 	return s
@@ -347,7 +347,7 @@
 	reply <- result
 }
 
-func refusalProblem(r *twbooks.Refusal) error {
+func refusalProblem(r *twallocator.Refusal) error {
 	if r == nil {
 		return nil
 	}
--- a/internal/placement/twcoordinator/coordinator_test.go
+++ b/internal/placement/twcoordinator/coordinator_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 	"github.com/turmericwall/turmericwall/internal/placement/twcoordinator"
 )
 
@@ -21,7 +21,7 @@
 		{ID: "p1", Slots: 16, Role: turmericwall.RolePrefill},
 	}
 	return twcoordinator.New(twcoordinator.Config{
-		Tuning: twbooks.DefaultTuning(), Upstreams: func(string) []turmericwall.Upstream { return list },
+		Tuning: twallocator.DefaultTuning(), Upstreams: func(string) []turmericwall.Upstream { return list },
 		Service: func(name string) (turmericwall.ServicePlan, bool) {
 			engine := turmericwall.EnginePlan{Slots: 16, MemoryTokens: 76_000, TokensPerEvent: 50, MaxReservationMillis: 2000}
 			return turmericwall.ServicePlan{Name: name, Engine: &engine}, true
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 	"github.com/turmericwall/turmericwall/internal/placement/twcoordinator"
 	"github.com/turmericwall/turmericwall/internal/placement/twdelegate"
 )
@@ -100,7 +100,7 @@
 	}
 	own := twcoordinator.New(twcoordinator.Config{
 		AcceptsCalls: func(turmericwall.UpstreamKey) bool { return true },
-		Tuning:       twbooks.DefaultTuning(),
+		Tuning:       twallocator.DefaultTuning(),
 		Upstreams:    func(string) []turmericwall.Upstream { return engines },
 		Service: func(string) (turmericwall.ServicePlan, bool) {
 			return turmericwall.ServicePlan{
