--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -17,7 +17,7 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twelection"
 	"github.com/turmericwall/turmericwall/internal/membership/twproof"
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
-	"github.com/turmericwall/turmericwall/internal/placement/twaway"
+	"github.com/turmericwall/turmericwall/internal/placement/twrolechange"
 )
 
 // store simulates the tables of the store. It can be made unavailable, unresponsive or closed to one daemon's writes.
@@ -184,7 +184,7 @@
 	// readsOnlyInRole limits reads of the store to a leader or a standby; lastReadAt is the time of the last read.
 	readsOnlyInRole bool
 	lastReadAt      time.Time
-	roleChanges     *twaway.RoleChanges
+	roleChanges     *twrolechange.RoleChanges
 	proof           *twproof.Proof
 }
 
@@ -219,7 +219,7 @@
 func startWithDelay(t *testing.T, s *store, n *network, name string, electionDelay time.Duration) *daemon {
 	t.Helper()
 	log := tweventlog.New(tweventlog.Config{Output: io.Discard})
-	d := &daemon{roleChanges: twaway.New()}
+	d := &daemon{roleChanges: twrolechange.New()}
 	self := turmericwall.Member{Name: name, Address: name, Incarnation: name + "1"}
 	d.proof = twproof.New(twproof.Config{Incarnation: self.Incarnation})
 	d.election = twelection.New(twelection.Config{
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twordering/orders_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
-	"github.com/turmericwall/turmericwall/internal/placement/twaway"
 	"github.com/turmericwall/turmericwall/internal/placement/twordering"
+	"github.com/turmericwall/turmericwall/internal/placement/twrolechange"
 	"github.com/turmericwall/turmericwall/internal/placement/twroles"
 )
 
@@ -20,7 +20,7 @@
 type engines struct {
 	turmericwall.UpstreamClient
 	orders      chan turmericwall.RoleOrder
-	roleChanges *twaway.RoleChanges
+	roleChanges *twrolechange.RoleChanges
 	// orderErr is returned for each order.
 	orderErr error
 }
@@ -66,7 +66,7 @@
 }
 
 func newEngines() *engines {
-	return &engines{orders: make(chan turmericwall.RoleOrder, 10), roleChanges: twaway.New()}
+	return &engines{orders: make(chan turmericwall.RoleOrder, 10), roleChanges: twrolechange.New()}
 }
 
 // isChangingRole reports whether the engine, which still reports its old role, counts as changing it.
--- a/internal/placement/twaway/away.go
+++ b/internal/placement/twrolechange/rolechanges.go
@@ -1,6 +1,6 @@
-// Package twaway tracks the engines that are changing their role, so that no call is placed on them. The daemon that
-// orders a role change reports it to its peers with its heartbeats.
-package twaway
+// Package twrolechange tracks the engines that are changing their role, so that no call is placed on them. The daemon
+// that orders a role change reports it to its peers with its heartbeats.
+package twrolechange
 
 import (
 	"sync"
--- a/internal/placement/twaway/away_test.go
+++ b/internal/placement/twrolechange/rolechanges_test.go
@@ -1,4 +1,4 @@
-package twaway_test
+package twrolechange_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twaway"
+	"github.com/turmericwall/turmericwall/internal/placement/twrolechange"
 )
 
 var start = time.Unix(9000, 0)
@@ -18,7 +18,7 @@
 
 func TestEngineChangesRoleUntilItReportsNewRole(t *testing.T) {
 	g := NewWithT(t)
-	changes := twaway.New()
+	changes := twrolechange.New()
 	g.Expect(changes.IsChangingRole(start, engine(turmericwall.RoleDecode))).To(BeFalse())
 	changes.Add("e", turmericwall.RolePrefill, start.Add(20*time.Second))
 	g.Expect(changes.IsChangingRole(start.Add(12*time.Second), engine(turmericwall.RoleDecode))).To(BeTrue())
@@ -28,7 +28,7 @@
 
 func TestUnfinishedRoleChangeExpires(t *testing.T) {
 	g := NewWithT(t)
-	changes := twaway.New()
+	changes := twrolechange.New()
 	changes.Add("e", turmericwall.RolePrefill, start.Add(20*time.Second))
 	g.Expect(changes.IsChangingRole(start.Add(21*time.Second), engine(turmericwall.RoleDecode))).To(BeFalse())
 }
@@ -38,7 +38,7 @@
 // daemons differ.
 func TestNextLeaderReceivesRoleChanges(t *testing.T) {
 	g := NewWithT(t)
-	former, next := twaway.New(), twaway.New()
+	former, next := twrolechange.New(), twrolechange.New()
 	former.Add("e", turmericwall.RolePrefill, start.Add(20*time.Second))
 	receivedAt := start.Add(time.Hour)
 	next.AddReported(receivedAt, former.List(start.Add(time.Second)))
