--- a/internal/delivery/twdelivery/run.go
+++ b/internal/delivery/twdelivery/run.go
@@ -7,7 +7,7 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/delivery/twassembly"
-	"github.com/turmericwall/turmericwall/internal/placement/twblocks"
+	"github.com/turmericwall/turmericwall/internal/placement/twblockhash"
 )
 
 const (
@@ -105,9 +105,9 @@
 		Attempt: name, Service: r.request.Service, Model: r.request.Model, Account: r.request.Account,
 		Work: r.request.Work.Name, Urgent: r.request.Work.Urgent, Worth: r.request.Work.Worth,
 		TokenGapMillis: float64(r.request.Work.TokenGapMillis),
-		PromptTokens:   twblocks.EstimateTokens(r.promptWithAnswer()),
+		PromptTokens:   twblockhash.EstimateTokens(r.promptWithAnswer()),
 		MaxTokens:      r.remainingTokens(),
-		BlockHashes:    twblocks.Hashes(r.request.Prompt),
+		BlockHashes:    twblockhash.Hashes(r.request.Prompt),
 		Avoid:          r.avoidedEngines,
 	}
 	if now.Before(r.exportDeadline) {
@@ -243,7 +243,7 @@
 }
 
 func (r *run) usage() turmericwall.Usage {
-	prompt := twblocks.EstimateTokens(r.request.Prompt)
+	prompt := twblockhash.EstimateTokens(r.request.Prompt)
 	return turmericwall.Usage{
 		PromptTokens:     prompt,
 		CompletionTokens: r.assembly.DeliveredTokens(),
--- a/internal/placement/twblocks/blocks.go
+++ b/internal/placement/twblockhash/blocks.go
@@ -1,6 +1,6 @@
-// Package twblocks computes the chained hashes of a prompt's blocks, by which engines name the blocks in their cache
+// Package twblockhash computes the chained hashes of a prompt's blocks, by which engines name the blocks in their cache
 // events. Calls carry the hashes to placement, which compares them with the cached blocks of each engine.
-package twblocks
+package twblockhash
 
 import (
 	"encoding/binary"
--- a/internal/placement/twpolicy/policy.go
+++ b/internal/placement/twpolicy/policy.go
@@ -5,7 +5,7 @@
 import (
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/placement/twbaseline"
-	"github.com/turmericwall/turmericwall/internal/placement/twblocks"
+	"github.com/turmericwall/turmericwall/internal/placement/twblockhash"
 	"github.com/turmericwall/turmericwall/internal/placement/twscheduler"
 )
 
@@ -19,7 +19,7 @@
 // New returns the policy of that name for one service. A name that is neither Leader nor Local is taken for a baseline.
 func New(name string) turmericwall.Policy {
 	if name == Leader || name == Local {
-		return twscheduler.New(twscheduler.Config{BlockTokens: twblocks.BlockBytes / twblocks.BytesPerToken})
+		return twscheduler.New(twscheduler.Config{BlockTokens: twblockhash.BlockBytes / twblockhash.BytesPerToken})
 	}
 	return twbaseline.New(twbaseline.Config{Rule: name})
 }
--- a/turmericwallstand/internal/twenginestand/completion.go
+++ b/turmericwallstand/internal/twenginestand/completion.go
@@ -10,7 +10,7 @@
 	"github.com/labstack/echo/v4"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twblocks"
+	"github.com/turmericwall/turmericwall/internal/placement/twblockhash"
 )
 
 type completionRequest struct {
@@ -75,7 +75,7 @@
 func (e *Engine) prefill(c echo.Context, attempt string, call completionRequest) error {
 	ctx, cancel := e.attemptContext(c)
 	defer cancel()
-	tokens := twblocks.EstimateTokens(call.Prompt)
+	tokens := twblockhash.EstimateTokens(call.Prompt)
 	if status := e.acquire(attempt, piecesOf(tokens), cancel); status != http.StatusOK {
 		return c.NoContent(status)
 	}
@@ -96,7 +96,7 @@
 func (e *Engine) decode(c echo.Context, attempt string, call completionRequest) error {
 	ctx, cancel := e.attemptContext(c)
 	defer cancel()
-	pieces := piecesOf(twblocks.EstimateTokens(call.Prompt) + call.MaxTokens)
+	pieces := piecesOf(twblockhash.EstimateTokens(call.Prompt) + call.MaxTokens)
 	if status := e.acquire(attempt, pieces, cancel); status != http.StatusOK {
 		return c.NoContent(status)
 	}
--- a/turmericwallstand/internal/twenginestand/prefill.go
+++ b/turmericwallstand/internal/twenginestand/prefill.go
@@ -10,7 +10,7 @@
 	"github.com/labstack/echo/v4"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twblocks"
+	"github.com/turmericwall/turmericwall/internal/placement/twblockhash"
 )
 
 // chunkTokens is the number of tokens that prefill computes before it chooses the next job by priority.
@@ -45,7 +45,7 @@
 // computePrompt queues the prompt, waits until its uncached tokens are computed, and returns their number. At least one
 // token is computed, even if the whole prompt is cached.
 func (e *Engine) computePrompt(ctx context.Context, call completionRequest, tokens int) (int, error) {
-	blocks := twblocks.Hashes(call.Prompt)
+	blocks := twblockhash.Hashes(call.Prompt)
 	e.mu.Lock()
 	cached := min(e.cachedTokens(blocks), tokens-1)
 	j := &job{ctx: ctx, remaining: tokens - cached, priority: call.Priority, done: make(chan struct{})}
@@ -69,10 +69,10 @@
 func (e *Engine) cachedTokens(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := e.cache.Get(b); !ok {
-			return i * twblocks.BlockBytes / twblocks.BytesPerToken
+			return i * twblockhash.BlockBytes / twblockhash.BytesPerToken
 		}
 	}
-	return len(blocks) * twblocks.BlockBytes / twblocks.BytesPerToken
+	return len(blocks) * twblockhash.BlockBytes / twblockhash.BytesPerToken
 }
 
 // cacheBlocks adds the blocks to the prompt cache and publishes an event for each block added and each one evicted.
