--- a/internal/placement/twallocator/allocator.go
+++ b/internal/placement/twallocator/allocator.go
@@ -10,7 +10,7 @@
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/placement/twcost"
 	"github.com/turmericwall/turmericwall/internal/placement/twejection"
-	"github.com/turmericwall/turmericwall/internal/placement/twpauses"
+	"github.com/turmericwall/turmericwall/internal/placement/twinterference"
 )
 
 // Tuning holds the limits of the placement decisions.
@@ -90,7 +90,7 @@
 	cacheHitShare   float64
 	cacheHitShareAt time.Time
 	// interference estimates how often a prefill on a decode engine delays the engine's streams.
-	interference *twpauses.Interference
+	interference *twinterference.Interference
 	// prefillShortage and decodeShortage record the calls that found no engine of the role in time.
 	prefillShortage, decodeShortage shortage
 	// cost is the mean engine time that a call takes.
@@ -135,7 +135,8 @@
 func New(tuning Tuning) *Allocator {
 	return &Allocator{
 		tuning: tuning, engines: make(map[string]*engine), engineByCall: make(map[string]string),
-		callers: newCallers(), interference: twpauses.New(), cacheHitShare: initialCacheHitShare, cost: twcost.New(),
+		callers: newCallers(), interference: twinterference.New(), cacheHitShare: initialCacheHitShare,
+		cost: twcost.New(),
 		ejections:        twejection.New(),
 		bestPrefillSpeed: initialPrefillSpeed, decodeSpeed: initialDecodeSpeed, prefillSpeed: initialPrefillSpeed,
 	}
--- a/internal/placement/twpauses/pauses.go
+++ b/internal/placement/twinterference/interference.go
@@ -1,6 +1,6 @@
-// Package twpauses estimates how often a prefill on a decode engine delays the engine's other streams beyond the
+// Package twinterference estimates how often a prefill on a decode engine delays the engine's other streams beyond the
 // allowed event gap. The placement allocator consults it before it lets a decode engine prefill a prompt itself.
-package twpauses
+package twinterference
 
 import "time"
 
--- a/internal/placement/twpauses/pauses_test.go
+++ b/internal/placement/twinterference/interference_test.go
@@ -1,4 +1,4 @@
-package twpauses_test
+package twinterference_test
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/turmericwall/turmericwall/internal/placement/twpauses"
+	"github.com/turmericwall/turmericwall/internal/placement/twinterference"
 )
 
 var start = time.Unix(5000, 0)
 
 func TestTrialStreamsAreLimitedUntilEvaluated(t *testing.T) {
 	g := NewWithT(t)
-	interference := twpauses.New()
+	interference := twinterference.New()
 	before := interference.LateShare(start)
 	g.Expect(before).To(BeNumerically("<", 0.5), "a trial beside a few streams is worth it")
 	for i := range 4 {
@@ -26,7 +26,7 @@
 
 func TestPausedStreamsRaiseLateShare(t *testing.T) {
 	g := NewWithT(t)
-	interference := twpauses.New()
+	interference := twinterference.New()
 	for i := range 4 {
 		interference.Watch(fmt.Sprint(i), start)
 		interference.RecordPause(fmt.Sprint(i))
@@ -37,7 +37,7 @@
 // Guards against counting pauses with another cause, such as a lost packet, as an effect of prefills.
 func TestPauseOfUnwatchedStreamIsIgnored(t *testing.T) {
 	g := NewWithT(t)
-	interference := twpauses.New()
+	interference := twinterference.New()
 	before := interference.LateShare(start)
 	interference.RecordPause("other")
 	g.Expect(interference.LateShare(start)).To(Equal(before))
@@ -45,7 +45,7 @@
 
 func TestEndedStreamIsNotWatched(t *testing.T) {
 	g := NewWithT(t)
-	interference := twpauses.New()
+	interference := twinterference.New()
 	for i := range 4 {
 		interference.Watch(fmt.Sprint(i), start.Add(time.Hour))
 		interference.Unwatch(fmt.Sprint(i))
