--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twroleorders/orders.go
@@ -1,6 +1,6 @@
-// Package twordering sends role orders to engines. While this daemon is the leader, it plans the roles of each
+// Package twroleorders sends role orders to engines. While this daemon is the leader, it plans the roles of each
 // service's engines at short intervals and orders the engines that are due to change; no request waits for it.
-package twordering
+package twroleorders
 
 import (
 	"context"
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twroleorders/orders_test.go
@@ -1,4 +1,4 @@
-package twordering_test
+package twroleorders_test
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
-	"github.com/turmericwall/turmericwall/internal/placement/twordering"
 	"github.com/turmericwall/turmericwall/internal/placement/twrolechange"
+	"github.com/turmericwall/turmericwall/internal/placement/twroleorders"
 	"github.com/turmericwall/turmericwall/internal/placement/twroles"
 )
 
@@ -41,7 +41,7 @@
 		{ID: "b", Role: turmericwall.RolePrefill},
 		{ID: "c", Role: turmericwall.RoleDecode},
 	}
-	o := twordering.New(twordering.Config{
+	o := twroleorders.New(twroleorders.Config{
 		Services: func() []turmericwall.ServicePlan {
 			return []turmericwall.ServicePlan{{Name: "s", Engine: &turmericwall.EnginePlan{RoleChangeMillis: 500}}}
 		},
--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -1,5 +1,5 @@
 // Package twroles decides how many engines of a service prefill and how many decode, and which engines change their
-// role. The leader plans with it between requests; twordering sends the resulting orders to the engines.
+// role. The leader plans with it between requests; twroleorders sends the resulting orders to the engines.
 package twroles
 
 import (
