--- a/internal/membership/twseeker/seeker.go
+++ b/internal/membership/twdiscovery/discovery.go
@@ -1,6 +1,6 @@
-// Package twseeker finds the leader through peers while this daemon has no live leader. It is not on a request's
+// Package twdiscovery finds the leader through peers while this daemon has no live leader. It is not on a request's
 // path, but calls are placed locally until a leader is found.
-package twseeker
+package twdiscovery
 
 import (
 	"context"
--- a/internal/membership/twseeker/seeker_test.go
+++ b/internal/membership/twdiscovery/discovery_test.go
@@ -1,4 +1,4 @@
-package twseeker_test
+package twdiscovery_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/membership/twseeker"
+	"github.com/turmericwall/turmericwall/internal/membership/twdiscovery"
 )
 
 // peers simulates the daemons that are queried.
@@ -58,7 +58,7 @@
 	p.queries = make(map[string]int)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	s := twseeker.New(twseeker.Config{
+	s := twdiscovery.New(twdiscovery.Config{
 		Self: "self", ShouldQuery: func() bool { return true }, FetchState: p.fetchState, OnQueried: p.recordOutcome,
 		Standbys: func() []turmericwall.Member { return standbys },
 		Seeds:    func() []string { return seeds },
