--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -15,8 +15,8 @@
 	"github.com/turmericwall/turmericwall/internal/document/twrevision"
 	"github.com/turmericwall/turmericwall/internal/membership/twdialer"
 	"github.com/turmericwall/turmericwall/internal/membership/twfleet"
+	"github.com/turmericwall/turmericwall/internal/membership/twliveness"
 	"github.com/turmericwall/turmericwall/internal/membership/twpeer"
-	"github.com/turmericwall/turmericwall/internal/membership/twroster"
 )
 
 // Few peers cost little and spread heartbeats fast. With more peers, one peer in each round keeps the control traffic
@@ -45,7 +45,7 @@
 	lost     chan string
 
 	mu       sync.Mutex
-	tracker  *twroster.Tracker
+	tracker  *twliveness.Tracker
 	draining bool
 	// reportedLive holds the incarnations that were logged as live.
 	reportedLive map[string]bool
@@ -80,7 +80,7 @@
 		self:         config.Incarnation,
 		address:      config.Address,
 		lost:         make(chan string, lostBuffer),
-		tracker:      twroster.New(self),
+		tracker:      twliveness.New(self),
 		reportedLive: make(map[string]bool),
 	}
 }
--- a/internal/membership/twroster/roster.go
+++ b/internal/membership/twliveness/liveness.go
@@ -1,6 +1,6 @@
-// Package twroster decides which daemons count as live, from the heartbeats that daemons exchange and pass on.
+// Package twliveness decides which daemons count as live, from the heartbeats that daemons exchange and pass on.
 // Leaders, leases and placements depend on its result.
-package twroster
+package twliveness
 
 import (
 	"sort"
--- a/internal/membership/twroster/roster_test.go
+++ b/internal/membership/twliveness/liveness_test.go
@@ -1,4 +1,4 @@
-package twroster_test
+package twliveness_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 	"google.golang.org/protobuf/proto"
 
+	"github.com/turmericwall/turmericwall/internal/membership/twliveness"
 	"github.com/turmericwall/turmericwall/internal/membership/twpeer"
-	"github.com/turmericwall/turmericwall/internal/membership/twroster"
 )
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
@@ -24,7 +24,7 @@
 // daemon passes on late must not make it live.
 func TestPeerWithUnchangedCounterIsLost(t *testing.T) {
 	g := NewWithT(t)
-	r := twroster.New(heartbeat("self", 0))
+	r := twliveness.New(heartbeat("self", 0))
 	r.Merge(start, []*twpeer.Heartbeat{heartbeat("peer", 5)})
 	g.Expect(r.IsLive(start.Add(3*time.Second), "peer")).To(BeTrue())
 	late := start.Add(5 * time.Second)
@@ -39,7 +39,7 @@
 // A restarted daemon has a new incarnation, which must not inherit the former one's state.
 func TestRestartedDaemonIsAnotherMember(t *testing.T) {
 	g := NewWithT(t)
-	r := twroster.New(heartbeat("self", 0))
+	r := twliveness.New(heartbeat("self", 0))
 	r.Merge(start, []*twpeer.Heartbeat{heartbeat("a:1", 900)})
 	now := start.Add(5 * time.Second)
 	r.Merge(now, []*twpeer.Heartbeat{heartbeat("a:2", 1)})
@@ -53,7 +53,7 @@
 func BenchmarkExchange(b *testing.B) {
 	for _, daemons := range []int{9, 54, 200} {
 		b.Run(fmt.Sprintf("daemons=%d", daemons), func(b *testing.B) {
-			r := twroster.New(heartbeat("entry-000:dnaoay2lb73k", 0))
+			r := twliveness.New(heartbeat("entry-000:dnaoay2lb73k", 0))
 			var heartbeats []*twpeer.Heartbeat
 			for i := range daemons {
 				m := heartbeat(fmt.Sprintf("entry-%03d:dnaoay2lb73k", i+1), 1)
