--- a/internal/ledger/twledger/ledger.go
+++ b/internal/ledger/twledger/ledger.go
@@ -14,7 +14,7 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/ledger/twentry"
-	"github.com/turmericwall/turmericwall/internal/platform/twclear"
+	"github.com/turmericwall/turmericwall/internal/platform/twexpiry"
 )
 
 const (
@@ -37,7 +37,7 @@
 // prevents a former owner that resumes from writing a second answer.
 type Ledger struct {
 	config  Config
-	sweeper *twclear.Sweeper
+	sweeper *twexpiry.Sweeper
 	// acquired holds leases whose entries Run starts to process.
 	acquired chan heldLease
 
@@ -80,7 +80,7 @@
 		openByAccount: make(map[string]int),
 		observations:  make(map[string]observation),
 	}
-	l.sweeper = twclear.New(twclear.Config{
+	l.sweeper = twexpiry.New(twexpiry.Config{
 		Table: config.Table, Writer: config.Writer, Clock: config.Clock, Prefixes: entryPrefixes(), Expired: expired,
 	})
 	return l
--- a/internal/once/twclaim/claims.go
+++ b/internal/once/twclaim/claims.go
@@ -14,7 +14,7 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/once/twattempt"
-	"github.com/turmericwall/turmericwall/internal/platform/twclear"
+	"github.com/turmericwall/turmericwall/internal/platform/twexpiry"
 )
 
 const (
@@ -42,7 +42,7 @@
 // states that its outcome is unknown, or when its owner can't state the outcome and is no longer live.
 type Claims struct {
 	config    Config
-	sweeper   *twclear.Sweeper
+	sweeper   *twexpiry.Sweeper
 	recording chan *claim
 }
 
@@ -69,7 +69,7 @@
 
 // New returns Claims. Answers are recorded only while Run runs.
 func New(config Config) *Claims {
-	sweeper := twclear.New(twclear.Config{
+	sweeper := twexpiry.New(twexpiry.Config{
 		Table: config.Table, Writer: config.Writer, Clock: config.Clock,
 		Prefixes: partitionPrefixes(), Expired: expired,
 	})
--- a/internal/platform/twclear/clearer.go
+++ b/internal/platform/twexpiry/sweeper.go
@@ -1,6 +1,6 @@
-// Package twclear deletes expired rows of the platform's table in the background. The claims and the ledger of each
+// Package twexpiry deletes expired rows of the platform's table in the background. The claims and the ledger of each
 // daemon run a Sweeper over their rows.
-package twclear
+package twexpiry
 
 import (
 	"context"
