--- a/internal/operations/twdaemon/build.go
+++ b/internal/operations/twdaemon/build.go
@@ -28,7 +28,7 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twleader"
 	"github.com/turmericwall/turmericwall/internal/placement/twpolicy"
 	"github.com/turmericwall/turmericwall/internal/placement/twrouter"
-	"github.com/turmericwall/turmericwall/internal/platform/twgroup"
+	"github.com/turmericwall/turmericwall/internal/platform/twbatch"
 	"github.com/turmericwall/turmericwall/internal/platform/twhttp"
 	"github.com/turmericwall/turmericwall/internal/platform/twobject"
 	"github.com/turmericwall/turmericwall/internal/platform/twtable"
@@ -54,7 +54,7 @@
 	client := twhttp.New(twhttp.Config{Address: s.Platform, Registry: d.registry})
 	table := twtable.New(client)
 	d.buildMembership(client, table, incarnation, security)
-	d.committer = twgroup.New(twgroup.Config{
+	d.committer = twbatch.New(twbatch.Config{
 		Table: table, Registry: d.registry, Recorder: d.recorder,
 		Daemons: func() int { return len(d.exchange.EligibleLeaders()) },
 	})
--- a/internal/operations/twdaemon/daemon.go
+++ b/internal/operations/twdaemon/daemon.go
@@ -31,7 +31,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twtrace"
 	"github.com/turmericwall/turmericwall/internal/placement/twleader"
 	"github.com/turmericwall/turmericwall/internal/placement/twrouter"
-	"github.com/turmericwall/turmericwall/internal/platform/twgroup"
+	"github.com/turmericwall/turmericwall/internal/platform/twbatch"
 )
 
 // Daemon is one router process: all components between callers and upstreams on one VM.
@@ -49,7 +49,7 @@
 
 	listeners  listeners
 	fleet      *twfleet.Fleet
-	committer  *twgroup.Committer
+	committer  *twbatch.Committer
 	documents  *twrevision.Holder
 	dialer     *twdialer.Dialer
 	exchange   *twexchange.Exchange
--- a/internal/platform/twgroup/committer.go
+++ b/internal/platform/twbatch/committer.go
@@ -1,6 +1,6 @@
-// Package twgroup batches small sets of writes into transactions of the platform's table service. The claims and the
+// Package twbatch batches small sets of writes into transactions of the platform's table service. The claims and the
 // ledger of a daemon write through it, so that all daemons together stay within the platform's limit.
-package twgroup
+package twbatch
 
 import (
 	"context"
--- a/internal/platform/twgroup/committer_test.go
+++ b/internal/platform/twbatch/committer_test.go
@@ -1,4 +1,4 @@
-package twgroup_test
+package twbatch_test
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 	"github.com/rcrowley/go-metrics"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/platform/twgroup"
+	"github.com/turmericwall/turmericwall/internal/platform/twbatch"
 	"github.com/turmericwall/turmericwall/internal/platform/twmemory"
 )
 
 // startCommitter runs a Committer on an empty table until the test ends.
-func startCommitter(t *testing.T) (*twgroup.Committer, *twmemory.Table) {
+func startCommitter(t *testing.T) (*twbatch.Committer, *twmemory.Table) {
 	table := twmemory.New()
-	committer := twgroup.New(twgroup.Config{Table: table, Registry: metrics.NewRegistry()})
+	committer := twbatch.New(twbatch.Config{Table: table, Registry: metrics.NewRegistry()})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- committer.Run(ctx) }()
@@ -58,7 +58,7 @@
 func TestWritesBeyondTheShareAreBatched(t *testing.T) {
 	g := NewWithT(t)
 	registry := metrics.NewRegistry()
-	committer := twgroup.New(twgroup.Config{
+	committer := twbatch.New(twbatch.Config{
 		Table: twmemory.New(), Registry: registry, Daemons: func() int { return 100 },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,7 +92,7 @@
 
 func BenchmarkWrite(b *testing.B) {
 	table := twmemory.New()
-	committer := twgroup.New(twgroup.Config{Table: table, Registry: metrics.NewRegistry()})
+	committer := twbatch.New(twbatch.Config{Table: table, Registry: metrics.NewRegistry()})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = committer.Run(ctx) }()
