--- a/internal/operations/twmeters/meters.go
+++ b/internal/operations/twmetrics/meters.go
@@ -1,6 +1,6 @@
-// Package twmeters holds a daemon's metrics (counters, gauges and latency histograms) and serves them as text over
+// Package twmetrics holds a daemon's metrics (counters, gauges and latency histograms) and serves them as text over
 // HTTP. Their number is bounded also where callers or the configuration choose names.
-package twmeters
+package twmetrics
 
 import (
 	"fmt"
--- a/internal/operations/twmeters/meters_test.go
+++ b/internal/operations/twmetrics/meters_test.go
@@ -1,4 +1,4 @@
-package twmeters_test
+package twmetrics_test
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/turmericwall/turmericwall/internal/operations/twmeters"
+	"github.com/turmericwall/turmericwall/internal/operations/twmetrics"
 )
 
 func TestMetersAreServedAsText(t *testing.T) {
 	g := NewWithT(t)
-	m := twmeters.New()
+	m := twmetrics.New()
 	m.Count("calls_answered", 2)
 	m.Count("calls_answered", 1)
 	m.Gauge("calls_open", func() int64 { return 7 })
@@ -30,7 +30,7 @@
 // Without a bound, the number of metrics would grow with the names in the configuration.
 func TestCountersOfAPrefixAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	m := twmeters.New()
+	m := twmetrics.New()
 	for i := range 100 {
 		m.CountNamed("calls", fmt.Sprint("account", i), 1)
 	}
