--- a/internal/document/twparser/parser.go
+++ b/internal/document/twparser/parser.go
@@ -9,7 +9,7 @@
 	"net/http"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/operations/twstrict"
+	"github.com/turmericwall/turmericwall/internal/operations/twstrictjson"
 )
 
 const (
@@ -34,7 +34,7 @@
 // *turmericwall.Problem of kind KindInvalidDocument that names the field and the remedy.
 func (p *Parser) Parse(revision int64, source []byte) (*turmericwall.Document, error) {
 	var tree turmericwall.DocumentTree
-	if err := twstrict.New(p.name, turmericwall.KindInvalidDocument).Decode(source, &tree); err != nil {
+	if err := twstrictjson.New(p.name, turmericwall.KindInvalidDocument).Decode(source, &tree); err != nil {
 		return nil, err
 	}
 	setDefaults(&tree)
--- a/internal/operations/twsettings/settings.go
+++ b/internal/operations/twsettings/settings.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/operations/twstrict"
+	"github.com/turmericwall/turmericwall/internal/operations/twstrictjson"
 )
 
 // Defaults of optional settings.
@@ -78,7 +78,7 @@
 // the error names the source by name, the line or field, and the remedy.
 func Parse(name string, source []byte) (Settings, error) {
 	var s Settings
-	if err := twstrict.New(name, turmericwall.KindInvalidSettings).Decode(source, &s); err != nil {
+	if err := twstrictjson.New(name, turmericwall.KindInvalidSettings).Decode(source, &s); err != nil {
 		return Settings{}, err
 	}
 	s.setDefaults()
--- a/internal/operations/twstrict/decoder.go
+++ b/internal/operations/twstrictjson/decoder.go
@@ -1,6 +1,6 @@
-// Package twstrict decodes JSON with comments and trailing commas, and rejects unknown fields. Settings and documents
-// are read with it, so that a misspelt field stops a daemon or an upload instead of being ignored.
-package twstrict
+// Package twstrictjson decodes JSON with comments and trailing commas, and rejects unknown fields. Settings and
+// documents are read with it, so that a misspelt field stops a daemon or an upload instead of being ignored.
+package twstrictjson
 
 import (
 	"bytes"
