--- a/internal/placement/twallocator/allocator.go
+++ b/internal/placement/twallocator/allocator.go
@@ -136,7 +136,7 @@
 	return &Allocator{
 		tuning: tuning, engines: make(map[string]*engine), engineByCall: make(map[string]string),
 		callers: newCallers(), interference: twinterference.New(), cacheHitShare: initialCacheHitShare,
-		cost: twcost.New(),
+		cost:             twcost.New(),
 		ejections:        twejection.New(),
 		bestPrefillSpeed: initialPrefillSpeed, decodeSpeed: initialDecodeSpeed, prefillSpeed: initialPrefillSpeed,
 	}
