--- a/internal/delivery/twrelay/announced_test.go
+++ b/internal/delivery/twrelay/announced_test.go
@@ -16,7 +16,7 @@
 }
 
 // Guards against sends of any kind to an upstream that announced in an answer that it leaves.
-func TestNothingIsSentToAnUpstreamThatAnnouncedItsEnd(t *testing.T) {
+func TestNothingIsSentToAnUpstreamThatAnnouncedLeaving(t *testing.T) {
 	t.Run("first sends and retries", func(t *testing.T) {
 		for _, kind := range plainKinds {
 			g := NewWithT(t)
--- a/internal/delivery/twrelay/failing_test.go
+++ b/internal/delivery/twrelay/failing_test.go
@@ -15,7 +15,7 @@
 
 // A decode engine answers 500 to each call while its health check passes. If the placer does not learn of it, the
 // engine looks idle and gets ever more calls.
-func TestAnErrorOfADecodeEngineIsToldToThePlacer(t *testing.T) {
+func TestAnErrorOfADecodeEngineIsReportedToThePlacer(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
 	s.upstreams.send = func(
@@ -32,7 +32,7 @@
 
 // A decode engine accepts calls and never answers. If the placer does not learn of it, each further call waits there
 // until its caller leaves.
-func TestADecodeEngineThatHangsIsToldToThePlacer(t *testing.T) {
+func TestADecodeEngineThatHangsIsReportedToThePlacer(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
 	s.upstreams.send = func(
@@ -53,7 +53,7 @@
 
 // A prefill engine accepts a prompt and never finishes it. Without a time-out the call waits there until its caller
 // leaves.
-func TestAPromptThatIsNotReadGoesToAnotherEngine(t *testing.T) {
+func TestAHangingPrefillIsPlacedOnAnotherEngine(t *testing.T) {
 	g := NewWithT(t)
 	first, second := splitPlacement("d1"), splitPlacement("d1")
 	first.Prefill.ID = "hangs"
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -106,7 +106,7 @@
 
 // The engine's stream ends in the middle of an event. The caller gets complete events only, and its connection is
 // closed so that the answer can't be taken as complete.
-func TestABrokenStreamIsNotEndedAsWhole(t *testing.T) {
+func TestATruncatedStreamIsNotCompleted(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
 	s.upstreams.send = func(
@@ -203,7 +203,7 @@
 }
 
 // The decode engine starts to leave during the prefill. A call sent to it then would be cut short.
-func TestNoWorkIsSentToAnEngineThatBeganToLeave(t *testing.T) {
+func TestNoCallIsSentToALeavingEngine(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
 	s.upstreams.prefill = func(n int) (turmericwall.EngineExport, error) {
@@ -343,7 +343,7 @@
 
 // A stream that reaches a stopping daemon late would be cut short. If it is refused at once, its caller reaches another
 // daemon.
-func TestAStoppingDaemonRefusesStreamsThatItCannotFinish(t *testing.T) {
+func TestAStoppingDaemonRefusesStreamsThatItCannotComplete(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
 	s.stopsAt = time.Now().Add(2 * time.Second)
@@ -368,7 +368,7 @@
 
 // The engine leaves while the retry budget is used up. A run that is stopped then can't be resumed and its caller loses
 // the whole answer. It must stay on its engine, which still serves for a while.
-func TestARunIsNotStoppedWithoutABudgetToGoOn(t *testing.T) {
+func TestARunIsNotStoppedWithoutRetryBudget(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), turmericwall.Placement{Decode: engine("d2", turmericwall.RoleDecode)})
 	s.retries.Spend(time.Now(), "engines", 1)
@@ -401,7 +401,7 @@
 
 // The engine leaves while no other engine has room. The run must continue and be moved a little later; with a single
 // attempt to move it, it would be cut short when its engine terminates.
-func TestARefusedMoveIsAskedForAgain(t *testing.T) {
+func TestARefusedMoveIsRequestedAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
 	s.placer.refusal = turmericwall.NewRefusalProblem(
@@ -434,7 +434,7 @@
 
 // The decode engine is unresponsive and its connection does not break. The call must go to another engine while it can
 // still be on time, and the engine must be reported as failed.
-func TestASilentEngineCostsLessThanTheTarget(t *testing.T) {
+func TestAnUnresponsiveEngineIsReplacedWithinTheTarget(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
 	s.upstreams.unresponsive = map[string]bool{"d1": true}
--- a/internal/delivery/twrelay/plain_test.go
+++ b/internal/delivery/twrelay/plain_test.go
@@ -30,7 +30,7 @@
 
 // A booking reaches an upstream, and the connection breaks before the answer. The booking may have been made, so the
 // caller must not get "not run", and the call must not go to a second upstream.
-func TestANonIdempotentCallIsNeverSentAgainOnceItMayHaveRun(t *testing.T) {
+func TestANonIdempotentCallThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
 	s.upstreams.send = func(
@@ -62,7 +62,7 @@
 
 // A failing upstream answers 503 to a booking without stating that it did not run. If the status were passed on, the
 // caller would take the booking as not made and repeat it.
-func TestAStatusThatPromisesNotRunIsNotPassedOnUnsaid(t *testing.T) {
+func TestAnUnstatedNotRunStatusIsNotPassedOn(t *testing.T) {
 	for _, status := range []int{408, 421, 429, 503} {
 		g := NewWithT(t)
 		s := newFixture(turmericwall.CallNonIdempotent)
--- a/internal/once/twforward/forwarder_test.go
+++ b/internal/once/twforward/forwarder_test.go
@@ -27,7 +27,7 @@
 func (f fleet) Upstreams(string) []turmericwall.VM { return f.vms }
 
 // Guards against calls to an upstream that asked to back off with a Retry-After, before that time has elapsed.
-func TestAnUpstreamThatAsksToBackOffIsLeftAlone(t *testing.T) {
+func TestUpstreamThatAsksToBackOffIsNotChosen(t *testing.T) {
 	g := NewWithT(t)
 	var overloadedCalls atomic.Int64
 	serve := func(handler http.HandlerFunc) turmericwall.VM {
--- a/internal/placement/twallocator/allocator_test.go
+++ b/internal/placement/twallocator/allocator_test.go
@@ -129,7 +129,7 @@
 
 // Guards against a retry that counts as a new call: its answer is late in any case, and while engines are nearly full
 // it would take the memory of a call that can be on time.
-func TestACallerThatComesBackLateGivesWay(t *testing.T) {
+func TestLateRetryDoesNotDisplaceCall(t *testing.T) {
 	g := NewWithT(t)
 	a := newAllocator(2, 1)
 	for i := range 7 {
--- a/internal/routing/twroutes/table_test.go
+++ b/internal/routing/twroutes/table_test.go
@@ -41,7 +41,7 @@
 
 // Guards against calls that go back to an old service. The operator moves a route to a new service, and a slow reader
 // then delivers the earlier plan. Calls must still reach the new service, because the old one may be removed.
-func TestAnOlderPlanNeverComesBack(t *testing.T) {
+func TestOlderPlanIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	table := twroutes.New()
 	_, found := table.Plan()
