--- a/internal/admission/twquota/rate_fleet_test.go
+++ b/internal/admission/twquota/rate_fleet_test.go
@@ -148,14 +148,14 @@
 // Admit passes a request from one daemon to another. The requesting daemon is not known here and needs no check: calls
 // are sent only through daemons that are not partitioned.
 func (f *rateFleet) Admit(
-	_ context.Context, address string, ask turmericwall.AdmitRequest,
+	_ context.Context, address string, request turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
 	index, _ := utf8.DecodeRuneInString(address)
 	d := f.daemons[index-'A']
 	if !f.reaches(d) {
 		return turmericwall.AdmitReply{}, errRefused
 	}
-	return d.throttle.Grant(ask), nil
+	return d.throttle.Grant(request), nil
 }
 
 // heartbeat simulates one exchange of heartbeats between the leader and all daemons that it reaches.
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -29,9 +29,9 @@
 }
 
 func (p *fakePeers) Admit(
-	ctx context.Context, _ string, ask turmericwall.AdmitRequest,
+	ctx context.Context, _ string, request turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
-	p.requests = append(p.requests, ask)
+	p.requests = append(p.requests, request)
 	return p.reply, ctx.Err()
 }
 
--- a/internal/delivery/twrelay/failing_test.go
+++ b/internal/delivery/twrelay/failing_test.go
@@ -27,7 +27,7 @@
 	w, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Code).To(Equal(500), "the engine's answer is passed on unchanged")
-	g.Expect(s.placer.ends[len(s.placer.ends)-1].FailedEngine).To(Equal("d1"))
+	g.Expect(s.placer.updates[len(s.placer.updates)-1].FailedEngine).To(Equal("d1"))
 }
 
 // A decode engine accepts calls and never answers. If the placer does not learn of it, each further call waits there
@@ -47,7 +47,7 @@
 	s.placer.mu.Lock()
 	defer s.placer.mu.Unlock()
 	report := turmericwall.PlacementUpdate{ID: "id1/0", Service: "engines", Running: true, FailedEngine: "d1"}
-	g.Expect(s.placer.ends).To(ContainElement(report))
+	g.Expect(s.placer.updates).To(ContainElement(report))
 	g.Expect(s.upstreams.sentTo()).To(Equal([]string{"d1"}), "the call may run there and must not be sent again")
 }
 
@@ -63,7 +63,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Code).To(Equal(200))
 	g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{"hangs"}))
-	g.Expect(s.placer.ends[0].FailedEngine).To(Equal("hangs"))
+	g.Expect(s.placer.updates[0].FailedEngine).To(Equal("hangs"))
 }
 
 // Exports expire before they are imported. If their prefill engines counted as failed, no prefill engine would be left.
@@ -80,8 +80,8 @@
 	}
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
-	for _, end := range s.placer.ends {
-		g.Expect(end.FailedEngine).To(BeEmpty())
+	for _, update := range s.placer.updates {
+		g.Expect(update.FailedEngine).To(BeEmpty())
 	}
-	g.Expect(s.placer.ends).To(ContainElement(HaveField("SuspectedEngine", "p1")))
+	g.Expect(s.placer.updates).To(ContainElement(HaveField("SuspectedEngine", "p1")))
 }
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -133,7 +133,7 @@
 	mu         sync.Mutex
 	placements []turmericwall.Placement
 	requests   []turmericwall.PlaceRequest
-	ends       []turmericwall.PlacementUpdate
+	updates    []turmericwall.PlacementUpdate
 	refusal    error
 }
 
@@ -150,10 +150,10 @@
 	return placement, nil
 }
 
-func (p *fakePlacer) ApplyUpdate(end turmericwall.PlacementUpdate) {
+func (p *fakePlacer) ApplyUpdate(update turmericwall.PlacementUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ends = append(p.ends, end)
+	p.updates = append(p.updates, update)
 }
 
 // fakeThrottle simulates the rates of upstreams: those in closedUntil accept no call.
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -124,10 +124,10 @@
 func (r *Relay) tryPlacement(
 	ctx context.Context, a *attempt, p turmericwall.Placement, avoid *[]string,
 ) (done bool, err error) {
-	end := turmericwall.PlacementUpdate{ID: p.ID, Service: a.service.Name}
+	update := turmericwall.PlacementUpdate{ID: p.ID, Service: a.service.Name}
 	defer func() {
-		end.NotRun = isNotRun(err)
-		r.config.Placer.ApplyUpdate(end)
+		update.NotRun = isNotRun(err)
+		r.config.Placer.ApplyUpdate(update)
 	}()
 	a.upstreamID = p.Decode.ID
 	if err := r.config.Authenticator.CheckCredential(a.credential); err != nil {
@@ -142,9 +142,9 @@
 	if err != nil {
 		r.returnAdmissions(p.Decode, p.Prefill)
 		if errors.Is(err, errNoMemory) {
-			end.FullEngine = p.Decode.ID
+			update.FullEngine = p.Decode.ID
 		} else {
-			end.FailedEngine = p.Decode.ID
+			update.FailedEngine = p.Decode.ID
 			*avoid = append(*avoid, p.Decode.ID)
 		}
 		return false, notRunProblem(err)
@@ -153,7 +153,7 @@
 		Call: a.call, Deadline: a.deadline, Reservation: reservation,
 		Priority: queuePriority(a.route, p),
 	}
-	if done, err := r.runPrefill(ctx, a, p, &out, &end, avoid); err != nil {
+	if done, err := r.runPrefill(ctx, a, p, &out, &update, avoid); err != nil {
 		r.returnAdmissions(p.Decode)
 		go r.releaseEngines(p.Decode, reservation, p.Prefill, turmericwall.EngineExport{})
 		return done, err
@@ -167,16 +167,16 @@
 	defer a.stallTimer.Stop()
 	answer, err := r.config.Upstreams.Send(ctx, p.Decode, out)
 	if err != nil {
-		return r.handleSendError(ctx, p, err, &end, avoid)
+		return r.handleSendError(ctx, p, err, &update, avoid)
 	}
-	return true, r.streamAnswer(ctx, a, p, answer, &end)
+	return true, r.streamAnswer(ctx, a, p, answer, &update)
 }
 
 // runPrefill has the placement's prefill engine, if there is one, compute and export the prompt; done reports whether
 // the call must not be placed again.
 func (r *Relay) runPrefill(
 	ctx context.Context, a *attempt, p turmericwall.Placement, out *turmericwall.OutgoingCall,
-	end *turmericwall.PlacementUpdate, avoid *[]string,
+	update *turmericwall.PlacementUpdate, avoid *[]string,
 ) (done bool, err error) {
 	if p.Prefill.ID == "" {
 		return false, nil
@@ -188,18 +188,18 @@
 	}
 	if err != nil {
 		if !errors.Is(err, errBackOff) {
-			end.FailedEngine = p.Prefill.ID
+			update.FailedEngine = p.Prefill.ID
 		}
 		*avoid = append(*avoid, p.Prefill.ID)
 		return false, notRunProblem(err)
 	}
 	out.Step = turmericwall.StepImport
-	end.Prefilled = true
-	end.PrefillMillis = time.Since(began).Milliseconds()
+	update.Prefilled = true
+	update.PrefillMillis = time.Since(began).Milliseconds()
 	a.stats.prefilledMillis = a.elapsedMillis()
 	r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
-		ID: p.ID, Service: end.Service, Running: true, Prefilled: true,
-		PrefillMillis: end.PrefillMillis,
+		ID: p.ID, Service: update.Service, Running: true, Prefilled: true,
+		PrefillMillis: update.PrefillMillis,
 	})
 	return false, nil
 }
@@ -268,12 +268,12 @@
 // handleSendError records in end and avoid which engine is at fault for a failed send to the decode engine. It reports
 // whether the call has its final outcome, because it may have run; otherwise the call is placed again.
 func (r *Relay) handleSendError(
-	ctx context.Context, p turmericwall.Placement, err error, end *turmericwall.PlacementUpdate, avoid *[]string,
+	ctx context.Context, p turmericwall.Placement, err error, update *turmericwall.PlacementUpdate, avoid *[]string,
 ) (bool, error) {
 	var sent *turmericwall.SendError
 	if !errors.As(err, &sent) || !sent.IsSafeToResend() {
 		if ctx.Err() == nil {
-			end.FailedEngine = p.Decode.ID
+			update.FailedEngine = p.Decode.ID
 		}
 		return true, sendProblem(err)
 	}
@@ -281,12 +281,12 @@
 	case sent.NotRun && !sent.IncarnationReplaced && p.Prefill.ID != "":
 		// Either the export expired, or the decode engine refuses calls although it granted the reservation. This call
 		// avoids both; the engine that works is cleared by its next success.
-		end.FullEngine, end.SuspectedEngine = p.Decode.ID, p.Prefill.ID
+		update.FullEngine, update.SuspectedEngine = p.Decode.ID, p.Prefill.ID
 		*avoid = append(*avoid, p.Prefill.ID, p.Decode.ID)
 	case sent.NotRun && !sent.IncarnationReplaced:
-		end.FullEngine = p.Decode.ID
+		update.FullEngine = p.Decode.ID
 	default:
-		end.FailedEngine = p.Decode.ID
+		update.FailedEngine = p.Decode.ID
 		*avoid = append(*avoid, p.Decode.ID)
 	}
 	return false, notRunProblem(err)
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -55,8 +55,8 @@
 	g.Expect(s.upstreams.sends[0].Step).To(Equal(turmericwall.StepImport))
 	g.Expect(s.upstreams.sends[0].Export.Handle).To(Equal("h1"))
 	g.Expect(s.upstreams.sends[0].Reservation).To(Equal("r1"))
-	g.Expect(s.placer.ends).To(HaveLen(2), "one report after the prefill, one at the end")
-	g.Expect(s.placer.ends[1].AnswerTokens).To(Equal(150))
+	g.Expect(s.placer.updates).To(HaveLen(2), "one report after the prefill, one at the end")
+	g.Expect(s.placer.updates[1].AnswerTokens).To(Equal(150))
 }
 
 // A prefill is wasted when the decode engine turns out to be full, so memory is reserved before it.
@@ -68,7 +68,7 @@
 	g.Expect(w.Code).To(Equal(503))
 	g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 	g.Expect(s.upstreams.prefills).To(BeZero())
-	g.Expect(s.placer.ends[0].FullEngine).To(Equal("d1"))
+	g.Expect(s.placer.updates[0].FullEngine).To(Equal("d1"))
 }
 
 // The export expires before the decode engine imports it. The second prefill must count against the retry budget like
@@ -117,7 +117,7 @@
 	w, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 	g.Expect(w.Body.String()).To(Equal(events(1, 2)))
-	g.Expect(s.placer.ends[len(s.placer.ends)-1].FailedEngine).To(Equal("d1"))
+	g.Expect(s.placer.updates[len(s.placer.updates)-1].FailedEngine).To(Equal("d1"))
 }
 
 // slowBody pauses before its last part.
@@ -155,7 +155,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	// On a busy machine the pause is long enough for the speed to be reported too.
 	ended := slices.DeleteFunc(
-		s.placer.ends, func(end turmericwall.PlacementUpdate) bool { return end.Running && end.AnswerTokens > 0 },
+		s.placer.updates,
+		func(update turmericwall.PlacementUpdate) bool { return update.Running && update.AnswerTokens > 0 },
 	)
 	g.Expect(ended).To(HaveLen(3), "reports of the prefill, the event gap and the end")
 	g.Expect(ended[1]).To(
@@ -177,9 +178,9 @@
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
 	var reported []turmericwall.PlacementUpdate
-	for _, end := range s.placer.ends {
-		if end.Running && end.AnswerTokens > 0 {
-			reported = append(reported, end)
+	for _, update := range s.placer.updates {
+		if update.Running && update.AnswerTokens > 0 {
+			reported = append(reported, update)
 		}
 	}
 	g.Expect(reported).To(HaveLen(1))
@@ -310,8 +311,8 @@
 		s.placer.mu.Lock()
 		defer s.placer.mu.Unlock()
 		n := 0
-		for _, end := range s.placer.ends {
-			if end.ID == "id1/m1" {
+		for _, update := range s.placer.updates {
+			if update.ID == "id1/m1" {
 				n++
 			}
 		}
@@ -444,5 +445,5 @@
 	g.Expect(w.Code).To(Equal(200))
 	g.Expect(time.Since(began)).To(BeNumerically("<", 900*time.Millisecond))
 	g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{"d1"}))
-	g.Expect(s.placer.ends[0].FailedEngine).To(Equal("d1"))
+	g.Expect(s.placer.updates[0].FailedEngine).To(Equal("d1"))
 }
--- a/internal/delivery/twrelay/stream.go
+++ b/internal/delivery/twrelay/stream.go
@@ -31,7 +31,7 @@
 // streamAnswer passes the answer of a decode engine on as it arrives, in complete events only.
 func (r *Relay) streamAnswer(
 	ctx context.Context, a *attempt, p turmericwall.Placement, answer *turmericwall.Answer,
-	end *turmericwall.PlacementUpdate,
+	update *turmericwall.PlacementUpdate,
 ) error {
 	if err := checkUnstatedNotRun(answer); err != nil {
 		return err
@@ -42,7 +42,7 @@
 	}
 	if answer.Status >= http.StatusMultipleChoices {
 		if answer.Status >= http.StatusInternalServerError {
-			end.FailedEngine = p.Decode.ID
+			update.FailedEngine = p.Decode.ID
 		}
 		buffered, complete, err := bufferBody(answer)
 		if err != nil {
@@ -55,7 +55,7 @@
 	a.w.WriteHeader(answer.Status)
 	flush(a.w)
 	s := &answerStream{
-		relay: r, attempt: a, engine: p.Decode, placementID: p.ID, end: end,
+		relay: r, attempt: a, engine: p.Decode, placementID: p.ID, update: update,
 		moveDone: make(chan moveResult, 1),
 	}
 	err := s.copyEvents(ctx, answer.Body)
@@ -69,11 +69,11 @@
 		go s.releaseAbandonedMove()
 	}
 	if !s.firstEventAt.IsZero() {
-		end.AnswerTokens = a.stats.events * max(a.service.Engine.TokensPerEvent, 1)
-		end.AnswerMillis = time.Since(s.firstEventAt).Milliseconds()
+		update.AnswerTokens = a.stats.events * max(a.service.Engine.TokensPerEvent, 1)
+		update.AnswerMillis = time.Since(s.firstEventAt).Milliseconds()
 	}
 	if err != nil && ctx.Err() == nil {
-		end.FailedEngine = s.engine.ID
+		update.FailedEngine = s.engine.ID
 	}
 	return err
 }
@@ -83,7 +83,7 @@
 	relay        *Relay
 	attempt      *attempt
 	engine       turmericwall.Upstream
-	end          *turmericwall.PlacementUpdate
+	update       *turmericwall.PlacementUpdate
 	firstEventAt time.Time
 	// speedReported is set once the placer got an early report of the answer's speed.
 	speedReported bool
@@ -170,7 +170,7 @@
 	stats, limitMillis := &s.attempt.stats, s.attempt.route.EventGapMillis
 	if limitMillis > 0 && millis > limitMillis && stats.maxEventGapMillis <= limitMillis {
 		s.relay.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
-			ID: s.placementID, Service: s.end.Service, Running: true,
+			ID: s.placementID, Service: s.update.Service, Running: true,
 			EventGapExceeded: true,
 		})
 	}
@@ -179,13 +179,14 @@
 
 // reportPrefill reports the duration of a local prefill to the placer.
 func (s *answerStream) reportPrefill() {
-	if s.end.Prefilled {
+	if s.update.Prefilled {
 		return
 	}
-	s.end.Prefilled = true
-	s.end.PrefillMillis = s.attempt.stats.firstEventMillis - s.attempt.stats.placedMillis
+	s.update.Prefilled = true
+	s.update.PrefillMillis = s.attempt.stats.firstEventMillis - s.attempt.stats.placedMillis
 	s.relay.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
-		ID: s.end.ID, Service: s.end.Service, Running: true, Prefilled: true, PrefillMillis: s.end.PrefillMillis,
+		ID: s.update.ID, Service: s.update.Service, Running: true, Prefilled: true,
+		PrefillMillis: s.update.PrefillMillis,
 	})
 }
 
@@ -200,7 +201,7 @@
 	}
 	s.speedReported = true
 	s.relay.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
-		ID: s.placementID, Service: s.end.Service, Running: true,
+		ID: s.placementID, Service: s.update.Service, Running: true,
 		AnswerTokens: (s.attempt.stats.events - 1) * max(s.attempt.service.Engine.TokensPerEvent, 1),
 		AnswerMillis: now.Sub(s.firstEventAt).Milliseconds(),
 	})
--- a/internal/delivery/twrelay/throttle_test.go
+++ b/internal/delivery/twrelay/throttle_test.go
@@ -123,7 +123,7 @@
 		g.Expect(s.upstreams.prefills).To(BeZero())
 		g.Expect(s.upstreams.reservations).To(Equal(1), "nothing is reserved at the engine of the first placement")
 		g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{limited}))
-		g.Expect(s.placer.ends[0].NotRun).To(BeTrue())
+		g.Expect(s.placer.updates[0].NotRun).To(BeTrue())
 		g.Expect(s.throttle.admitted["d1"]).To(BeZero())
 		g.Expect(s.throttle.admitted["d2"]).To(Equal(1))
 	}
--- a/internal/membership/twdiscovery/discovery.go
+++ b/internal/membership/twdiscovery/discovery.go
@@ -14,7 +14,7 @@
 // checkInterval is the time between two checks whether a peer has to be queried.
 const checkInterval = 50 * time.Millisecond
 
-// Config holds the peers that may be queried and the callbacks of a seeker.
+// Config holds the peers that may be queried and the callbacks of a Discovery.
 type Config struct {
 	// Self is this daemon's own address, which is never queried.
 	Self string
@@ -38,11 +38,11 @@
 	next   int
 }
 
-// New returns a seeker that starts with a random peer, so that many daemons do not all query the same one first.
+// New returns a Discovery that starts with a random peer, so that many daemons do not all query the same one first.
 func New(config Config) *Discovery { return &Discovery{config: config, next: rand.IntN(1 << 10)} }
 
 // Run queries peers whenever that is due, until ctx ends.
-func (s *Discovery) Run(ctx context.Context) error {
+func (d *Discovery) Run(ctx context.Context) error {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
@@ -51,47 +51,47 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if s.config.ShouldQuery() {
-			s.config.OnQueried(s.queryNext(ctx))
+		if d.config.ShouldQuery() {
+			d.config.OnQueried(d.queryNext(ctx))
 		}
 	}
 }
 
 // queryNext queries the next peer, and the leader that it names. It reports whether that was useful.
-func (s *Discovery) queryNext(ctx context.Context) bool {
-	peers := s.candidates()
+func (d *Discovery) queryNext(ctx context.Context) bool {
+	peers := d.candidates()
 	if len(peers) == 0 {
 		return false
 	}
-	s.next++
-	peer := peers[s.next%len(peers)]
-	leader, newer, err := s.config.FetchState(ctx, peer)
+	d.next++
+	peer := peers[d.next%len(peers)]
+	leader, newer, err := d.config.FetchState(ctx, peer)
 	switch {
 	case err != nil:
 		return false
 	case leader.Address == peer:
 		return true
-	case leader.Address == "" || leader.Address == s.config.Self:
+	case leader.Address == "" || leader.Address == d.config.Self:
 		return newer
 	}
-	_, _, err = s.config.FetchState(ctx, leader.Address)
+	_, _, err = d.config.FetchState(ctx, leader.Address)
 	return err == nil
 }
 
 // candidates returns the addresses that may be queried, each once.
-func (s *Discovery) candidates() []string {
+func (d *Discovery) candidates() []string {
 	var list []string
 	add := func(address string) {
-		if address != "" && address != s.config.Self && !slices.Contains(list, address) {
+		if address != "" && address != d.config.Self && !slices.Contains(list, address) {
 			list = append(list, address)
 		}
 	}
-	for _, standby := range s.config.Standbys() {
+	for _, standby := range d.config.Standbys() {
 		add(standby.Address)
 	}
-	for _, seed := range s.config.Seeds() {
+	for _, seed := range d.config.Seeds() {
 		add(seed)
 	}
-	add(s.config.Holder().Address)
+	add(d.config.Holder().Address)
 	return list
 }
--- a/internal/membership/twdiscovery/discovery_test.go
+++ b/internal/membership/twdiscovery/discovery_test.go
@@ -58,13 +58,13 @@
 	p.queries = make(map[string]int)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	s := twdiscovery.New(twdiscovery.Config{
+	d := twdiscovery.New(twdiscovery.Config{
 		Self: "self", ShouldQuery: func() bool { return true }, FetchState: p.fetchState, OnQueried: p.recordOutcome,
 		Standbys: func() []turmericwall.Member { return standbys },
 		Seeds:    func() []string { return seeds },
 		Holder:   func() turmericwall.Member { return turmericwall.Member{Address: holder} },
 	})
-	go func() { ended <- s.Run(ctx) }()
+	go func() { ended <- d.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
 }
 
--- a/internal/membership/twliveness/liveness_test.go
+++ b/internal/membership/twliveness/liveness_test.go
@@ -24,28 +24,28 @@
 // daemon passes on late must not make it live.
 func TestPeerWithUnchangedCounterIsLost(t *testing.T) {
 	g := NewWithT(t)
-	r := twliveness.New(heartbeat("self", 0))
-	r.Merge(start, []*twpeer.Heartbeat{heartbeat("peer", 5)})
-	g.Expect(r.IsLive(start.Add(3*time.Second), "peer")).To(BeTrue())
+	tracker := twliveness.New(heartbeat("self", 0))
+	tracker.Merge(start, []*twpeer.Heartbeat{heartbeat("peer", 5)})
+	g.Expect(tracker.IsLive(start.Add(3*time.Second), "peer")).To(BeTrue())
 	late := start.Add(5 * time.Second)
-	r.Merge(late, []*twpeer.Heartbeat{heartbeat("peer", 4), heartbeat("peer", 5)})
-	g.Expect(r.IsLive(late, "peer")).To(BeFalse())
-	g.Expect(r.NewlyLost(late)).To(Equal([]string{"peer"}))
-	g.Expect(r.NewlyLost(late)).To(BeEmpty())
-	r.Merge(late, []*twpeer.Heartbeat{heartbeat("peer", 6)})
-	g.Expect(r.IsLive(late, "peer")).To(BeTrue())
+	tracker.Merge(late, []*twpeer.Heartbeat{heartbeat("peer", 4), heartbeat("peer", 5)})
+	g.Expect(tracker.IsLive(late, "peer")).To(BeFalse())
+	g.Expect(tracker.NewlyLost(late)).To(Equal([]string{"peer"}))
+	g.Expect(tracker.NewlyLost(late)).To(BeEmpty())
+	tracker.Merge(late, []*twpeer.Heartbeat{heartbeat("peer", 6)})
+	g.Expect(tracker.IsLive(late, "peer")).To(BeTrue())
 }
 
 // A restarted daemon has a new incarnation, which must not inherit the former one's state.
 func TestRestartedDaemonIsAnotherMember(t *testing.T) {
 	g := NewWithT(t)
-	r := twliveness.New(heartbeat("self", 0))
-	r.Merge(start, []*twpeer.Heartbeat{heartbeat("a:1", 900)})
+	tracker := twliveness.New(heartbeat("self", 0))
+	tracker.Merge(start, []*twpeer.Heartbeat{heartbeat("a:1", 900)})
 	now := start.Add(5 * time.Second)
-	r.Merge(now, []*twpeer.Heartbeat{heartbeat("a:2", 1)})
-	g.Expect(r.IsLive(now, "a:1")).To(BeFalse())
-	g.Expect(r.IsLive(now, "a:2")).To(BeTrue())
-	g.Expect(r.Live(now)).To(HaveLen(1))
+	tracker.Merge(now, []*twpeer.Heartbeat{heartbeat("a:2", 1)})
+	g.Expect(tracker.IsLive(now, "a:1")).To(BeFalse())
+	g.Expect(tracker.IsLive(now, "a:2")).To(BeTrue())
+	g.Expect(tracker.Live(now)).To(HaveLen(1))
 }
 
 // BenchmarkExchange measures the work of one side for one exchange with the given number of live daemons, and the
@@ -53,15 +53,15 @@
 func BenchmarkExchange(b *testing.B) {
 	for _, daemons := range []int{9, 54, 200} {
 		b.Run(fmt.Sprintf("daemons=%d", daemons), func(b *testing.B) {
-			r := twliveness.New(heartbeat("entry-000:dnaoay2lb73k", 0))
+			tracker := twliveness.New(heartbeat("entry-000:dnaoay2lb73k", 0))
 			var heartbeats []*twpeer.Heartbeat
 			for i := range daemons {
 				m := heartbeat(fmt.Sprintf("entry-%03d:dnaoay2lb73k", i+1), 1)
 				m.Address, m.Zone, m.Revision = "10.20.30.40:8081", "zona-norte", 45_000
 				heartbeats = append(heartbeats, m)
 			}
-			r.Merge(start, heartbeats)
-			encoded, err := proto.Marshal(r.Snapshot(start))
+			tracker.Merge(start, heartbeats)
+			encoded, err := proto.Marshal(tracker.Snapshot(start))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -70,8 +70,8 @@
 				if err := proto.Unmarshal(encoded, &received); err != nil {
 					b.Fatal(err)
 				}
-				r.Merge(start, received.GetBeats())
-				if _, err := proto.Marshal(r.NextHeartbeats(start, 1, false, nil)); err != nil {
+				tracker.Merge(start, received.GetBeats())
+				if _, err := proto.Marshal(tracker.NextHeartbeats(start, 1, false, nil)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -51,12 +51,12 @@
 
 // FetchState requests routes and upstreams from a daemon.
 func (c *Client) FetchState(
-	ctx context.Context, address string, ask turmericwall.StateRequest,
+	ctx context.Context, address string, request turmericwall.StateRequest,
 ) (turmericwall.SharedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply wireState
-	if err := c.call(ctx, address, pathState, ask, &reply); err != nil {
+	if err := c.call(ctx, address, pathState, request, &reply); err != nil {
 		return turmericwall.SharedState{}, err
 	}
 	if err := unpack("plan", reply.PackedPlan, &reply.Plan); err != nil {
@@ -71,10 +71,10 @@
 // Place requests a placement from the leader and waits for its decision. A refusal is returned as a
 // turmericwall.Problem, a failed call as another error.
 func (c *Client) Place(
-	ctx context.Context, address string, ask turmericwall.PlaceRequest,
+	ctx context.Context, address string, request turmericwall.PlaceRequest,
 ) (turmericwall.Placement, error) {
 	var reply wirePlaceReply
-	if err := c.call(ctx, address, pathPlace, encodePlaceRequest(time.Now(), ask), &reply); err != nil {
+	if err := c.call(ctx, address, pathPlace, encodePlaceRequest(time.Now(), request), &reply); err != nil {
 		return turmericwall.Placement{}, err
 	}
 	now := time.Now()
@@ -85,47 +85,49 @@
 	}
 	if reply.Refused {
 		return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{
-			Attempt: ask.ID, Reason: reply.Reason, Permanent: reply.Never,
+			Attempt: request.ID, Reason: reply.Reason, Permanent: reply.Never,
 			RetryAt: now.Add(time.Duration(reply.RetryMillis) * time.Millisecond),
 		})
 	}
 	return turmericwall.Placement{
-		ID: ask.ID, Decode: reply.Decode, Prefill: reply.Prefill, ReserveTokens: reply.ReserveTokens,
+		ID: request.ID, Decode: reply.Decode, Prefill: reply.Prefill, ReserveTokens: reply.ReserveTokens,
 		Reason: reply.Reason, Late: reply.Late,
 		PrefillEndsAt: now.Add(time.Duration(reply.ReadMillis) * time.Millisecond),
 	}, nil
 }
 
 // SendUpdates reports to the leader what happened to placed calls.
-func (c *Client) SendUpdates(ctx context.Context, address string, ends []turmericwall.PlacementUpdate) error {
+func (c *Client) SendUpdates(ctx context.Context, address string, updates []turmericwall.PlacementUpdate) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.call(ctx, address, pathFinish, ends, nil)
+	return c.call(ctx, address, pathFinish, updates, nil)
 }
 
 // ReportPlacedCalls reports this daemon's calls under way to a new leader.
-func (c *Client) ReportPlacedCalls(ctx context.Context, address string, runs []turmericwall.PlacedCall) error {
+func (c *Client) ReportPlacedCalls(ctx context.Context, address string, placedCalls []turmericwall.PlacedCall) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := time.Now()
-	list := make([]wireRun, 0, len(runs))
-	for _, r := range runs {
-		list = append(list, wireRun{Ask: encodePlaceRequest(now, r.Request), Engine: r.Engine, AgeMillis: r.AgeMillis})
+	list := make([]wirePlacedCall, 0, len(placedCalls))
+	for _, r := range placedCalls {
+		list = append(
+			list, wirePlacedCall{Request: encodePlaceRequest(now, r.Request), Engine: r.Engine, AgeMillis: r.AgeMillis},
+		)
 	}
 	return c.call(ctx, address, pathRuns, list, nil)
 }
 
 // Admit requests sends to an upstream that states a rate from the rate coordinator. Its time limit is that of ctx.
 func (c *Client) Admit(
-	ctx context.Context, address string, ask turmericwall.AdmitRequest,
+	ctx context.Context, address string, request turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
 	var reply turmericwall.AdmitReply
-	return reply, c.call(ctx, address, pathAdmit, ask, &reply)
+	return reply, c.call(ctx, address, pathAdmit, request, &reply)
 }
 
 // call posts a message as JSON and decodes the answer into reply unless that is nil.
-func (c *Client) call(ctx context.Context, address, path string, ask, reply any) error {
-	body, err := json.Marshal(ask)
+func (c *Client) call(ctx context.Context, address, path string, message, reply any) error {
+	body, err := json.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
 	}
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -59,23 +59,22 @@
 				rates.RecordPeerRates(h.Rates)
 				return turmericwall.HeartbeatReply{}
 			},
-			State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
-				if ask.Joining != nil {
+			State: func(request turmericwall.StateRequest) turmericwall.SharedState {
+				if request.Joining != nil {
 					quotas.RecordUses(
-						ask.Joining.Incarnation, time.Duration(
-							ask.Joining.UptimeMillis,
-						)*time.Millisecond, ask.Joining.Uses)
+						request.Joining.Incarnation, time.Duration(request.Joining.UptimeMillis)*time.Millisecond,
+						request.Joining.Uses)
 				}
 				return turmericwall.SharedState{}
 			},
 			IsLeader: func() bool { return true },
-			Place: func(_ context.Context, ask turmericwall.PlaceRequest) (turmericwall.Placement, error) {
-				return turmericwall.Placement{ID: ask.ID}, quotas.Charge(ask.Account, ask.Units)
+			Place: func(_ context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
+				return turmericwall.Placement{ID: request.ID}, quotas.Charge(request.Account, request.Units)
 			},
-			Admit: func(ask turmericwall.AdmitRequest) turmericwall.AdmitReply {
-				reply := throttle.Grant(ask)
-				if reply.Granted > max(ask.Count, 0) || reply.NextRequestMillis < 0 || reply.RetryMillis < 0 {
-					t.Fatalf("request %+v was answered by %+v", ask, reply)
+			Admit: func(request turmericwall.AdmitRequest) turmericwall.AdmitReply {
+				reply := throttle.Grant(request)
+				if reply.Granted > max(request.Count, 0) || reply.NextRequestMillis < 0 || reply.RetryMillis < 0 {
+					t.Fatalf("request %+v was answered by %+v", request, reply)
 				}
 				return reply
 			},
--- a/internal/membership/twpeerhttp/messages.go
+++ b/internal/membership/twpeerhttp/messages.go
@@ -35,9 +35,9 @@
 	Priority     int                    `json:"priority,omitempty"`
 }
 
-// wireRun is a call under way as it is sent to a new leader.
-type wireRun struct {
-	Ask       wirePlaceRequest `json:"ask"`
+// wirePlacedCall is a call under way as it is sent to a new leader.
+type wirePlacedCall struct {
+	Request   wirePlaceRequest `json:"ask"`
 	Engine    string           `json:"engine"`
 	AgeMillis int64            `json:"ageMillis"`
 }
@@ -57,34 +57,34 @@
 }
 
 // encodePlaceRequest returns the request as it is sent at the time now.
-func encodePlaceRequest(now time.Time, ask turmericwall.PlaceRequest) wirePlaceRequest {
+func encodePlaceRequest(now time.Time, request turmericwall.PlaceRequest) wirePlaceRequest {
 	return wirePlaceRequest{
-		ID: ask.ID, Service: ask.Service, Owner: ask.Owner, Zone: ask.Zone, Work: ask.Work,
-		TargetMillis: ask.TargetDeadline.Sub(now).Milliseconds(),
-		GiveUpMillis: ask.GiveUpDeadline.Sub(now).Milliseconds(),
-		GapMillis:    ask.EventGapMillis,
-		CallerMillis: ask.CallerDeadline.Sub(now).Milliseconds(),
-		Moving:       ask.Moving,
-		Avoid:        ask.Avoid,
-		Account:      ask.Account,
-		Units:        ask.Units,
-		Priority:     ask.Priority,
+		ID: request.ID, Service: request.Service, Owner: request.Owner, Zone: request.Zone, Work: request.Work,
+		TargetMillis: request.TargetDeadline.Sub(now).Milliseconds(),
+		GiveUpMillis: request.GiveUpDeadline.Sub(now).Milliseconds(),
+		GapMillis:    request.EventGapMillis,
+		CallerMillis: request.CallerDeadline.Sub(now).Milliseconds(),
+		Moving:       request.Moving,
+		Avoid:        request.Avoid,
+		Account:      request.Account,
+		Units:        request.Units,
+		Priority:     request.Priority,
 	}
 }
 
 // decodePlaceRequest returns a request that was received at the time now.
-func decodePlaceRequest(now time.Time, ask wirePlaceRequest) turmericwall.PlaceRequest {
+func decodePlaceRequest(now time.Time, request wirePlaceRequest) turmericwall.PlaceRequest {
 	return turmericwall.PlaceRequest{
-		ID: ask.ID, Service: ask.Service, Owner: ask.Owner, Zone: ask.Zone, Work: ask.Work,
-		TargetDeadline: now.Add(time.Duration(ask.TargetMillis) * time.Millisecond),
-		GiveUpDeadline: now.Add(time.Duration(ask.GiveUpMillis) * time.Millisecond),
-		EventGapMillis: ask.GapMillis,
-		CallerDeadline: now.Add(time.Duration(ask.CallerMillis) * time.Millisecond),
-		Moving:         ask.Moving,
-		Avoid:          ask.Avoid,
-		Account:        ask.Account,
-		Units:          ask.Units,
-		Priority:       ask.Priority,
+		ID: request.ID, Service: request.Service, Owner: request.Owner, Zone: request.Zone, Work: request.Work,
+		TargetDeadline: now.Add(time.Duration(request.TargetMillis) * time.Millisecond),
+		GiveUpDeadline: now.Add(time.Duration(request.GiveUpMillis) * time.Millisecond),
+		EventGapMillis: request.GapMillis,
+		CallerDeadline: now.Add(time.Duration(request.CallerMillis) * time.Millisecond),
+		Moving:         request.Moving,
+		Avoid:          request.Avoid,
+		Account:        request.Account,
+		Units:          request.Units,
+		Priority:       request.Priority,
 	}
 }
 
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -100,12 +100,12 @@
 				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, RemainingMillis: 70}}))
 			return me
 		},
-		State: func(ask turmericwall.StateRequest) turmericwall.SharedState {
-			g.Expect(ask.UpstreamsPosition).To(BeEquivalentTo(8))
+		State: func(request turmericwall.StateRequest) turmericwall.SharedState {
+			g.Expect(request.UpstreamsPosition).To(BeEquivalentTo(8))
 			return state
 		},
-		Finish:          func(end turmericwall.PlacementUpdate) { ended = append(ended, end) },
-		AdoptPlacedCall: func(run turmericwall.PlacedCall) { adopted = append(adopted, run) },
+		Finish:          func(update turmericwall.PlacementUpdate) { ended = append(ended, update) },
+		AdoptPlacedCall: func(placed turmericwall.PlacedCall) { adopted = append(adopted, placed) },
 	})
 	c, ctx := twpeerhttp.NewClient(), context.Background()
 	g.Expect(c.SendUpdates(ctx, address, []turmericwall.PlacementUpdate{
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -68,11 +68,11 @@
 }
 
 func (s *Server) state(w http.ResponseWriter, request *http.Request) {
-	var ask turmericwall.StateRequest
-	if !readJSON(w, request, &ask) {
+	var stateRequest turmericwall.StateRequest
+	if !readJSON(w, request, &stateRequest) {
 		return
 	}
-	state := s.config.State(ask)
+	state := s.config.State(stateRequest)
 	answer := wireState{SharedState: state}
 	err := s.pack(&answer)
 	if err != nil {
@@ -138,15 +138,15 @@
 }
 
 func (s *Server) place(w http.ResponseWriter, request *http.Request) {
-	var ask wirePlaceRequest
-	if !readJSON(w, request, &ask) {
+	var placeRequest wirePlaceRequest
+	if !readJSON(w, request, &placeRequest) {
 		return
 	}
 	if !s.config.IsLeader() {
 		http.Error(w, "this daemon is not the leader; wait for the next heartbeat", http.StatusMisdirectedRequest)
 		return
 	}
-	placement, err := s.config.Place(request.Context(), decodePlaceRequest(time.Now(), ask))
+	placement, err := s.config.Place(request.Context(), decodePlaceRequest(time.Now(), placeRequest))
 	now := time.Now()
 	var p *turmericwall.Problem
 	if errors.As(err, &p) {
@@ -164,34 +164,34 @@
 }
 
 func (s *Server) finish(w http.ResponseWriter, request *http.Request) {
-	var ends []turmericwall.PlacementUpdate
-	if !readJSON(w, request, &ends) {
+	var updates []turmericwall.PlacementUpdate
+	if !readJSON(w, request, &updates) {
 		return
 	}
-	for _, end := range ends {
-		s.config.Finish(end)
+	for _, update := range updates {
+		s.config.Finish(update)
 	}
 	writeJSON(w, struct{}{})
 }
 
 func (s *Server) runs(w http.ResponseWriter, request *http.Request) {
-	var runs []wireRun
+	var runs []wirePlacedCall
 	if !readJSON(w, request, &runs) {
 		return
 	}
 	now := time.Now()
 	for _, r := range runs {
 		s.config.AdoptPlacedCall(turmericwall.PlacedCall{
-			Request: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis,
+			Request: decodePlaceRequest(now, r.Request), Engine: r.Engine, AgeMillis: r.AgeMillis,
 		})
 	}
 	writeJSON(w, struct{}{})
 }
 
 func (s *Server) admit(w http.ResponseWriter, request *http.Request) {
-	var ask turmericwall.AdmitRequest
-	if readJSON(w, request, &ask) {
-		writeJSON(w, s.config.Admit(ask))
+	var admitRequest turmericwall.AdmitRequest
+	if readJSON(w, request, &admitRequest) {
+		writeJSON(w, s.config.Admit(admitRequest))
 	}
 }
 
--- a/internal/operations/twboottime/clock.go
+++ b/internal/operations/twboottime/clock.go
@@ -26,7 +26,7 @@
 }
 
 // Add returns the instant that is the span later.
-func (m Instant) Add(span time.Duration) Instant { return m + Instant(span) }
+func (i Instant) Add(span time.Duration) Instant { return i + Instant(span) }
 
 // Sub returns the time from the other instant to this one.
-func (m Instant) Sub(other Instant) time.Duration { return time.Duration(m - other) }
+func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
--- a/internal/placement/twallocator/allocator.go
+++ b/internal/placement/twallocator/allocator.go
@@ -252,31 +252,31 @@
 
 // ApplyUpdate applies a report on a placed call: a failed or full engine, the end of its prefill, a pause of its stream
 // or its end.
-func (a *Allocator) ApplyUpdate(now time.Time, end turmericwall.PlacementUpdate) {
-	if e, ok := a.engines[end.FullEngine]; ok {
+func (a *Allocator) ApplyUpdate(now time.Time, update turmericwall.PlacementUpdate) {
+	if e, ok := a.engines[update.FullEngine]; ok {
 		e.fullRefusals = min(e.fullRefusals+1, 4)
 		e.backoffUntil = now.Add(millis(a.tuning.FullBackoffMillis * float64(e.fullRefusals)))
 	}
-	if e, ok := a.engines[end.SuspectedEngine]; ok {
+	if e, ok := a.engines[update.SuspectedEngine]; ok {
 		e.backoffUntil = now.Add(millis(a.tuning.SuspectBackoffMillis))
 	}
-	if _, ok := a.engines[end.FailedEngine]; ok {
-		a.ejections.RecordFailure(now, end.FailedEngine)
+	if _, ok := a.engines[update.FailedEngine]; ok {
+		a.ejections.RecordFailure(now, update.FailedEngine)
 	}
-	if at, ok := a.engineByCall[end.ID]; ok && end.AnswerTokens > 0 && end.FailedEngine == "" {
+	if at, ok := a.engineByCall[update.ID]; ok && update.AnswerTokens > 0 && update.FailedEngine == "" {
 		a.ejections.RecordSuccess(now, at)
 	}
-	if end.AnswerMillis > minMeasuredMillis && end.AnswerTokens > 0 {
-		a.recordAnswer(end)
+	if update.AnswerMillis > minMeasuredMillis && update.AnswerTokens > 0 {
+		a.recordAnswer(update)
 	}
-	if end.Prefilled {
-		a.recordPrefill(now, end)
+	if update.Prefilled {
+		a.recordPrefill(now, update)
 	}
-	if end.EventGapExceeded {
-		a.interference.RecordPause(end.ID)
+	if update.EventGapExceeded {
+		a.interference.RecordPause(update.ID)
 	}
-	if !end.Running {
-		a.release(end.ID)
+	if !update.Running {
+		a.release(update.ID)
 	}
 }
 
--- a/internal/placement/twallocator/ejection_test.go
+++ b/internal/placement/twallocator/ejection_test.go
@@ -17,31 +17,31 @@
 	a := newAllocator(5, 20)
 	failing := map[string]bool{"d00": true, "d01": true}
 	lost, served := 0, 0
-	ends := make(map[time.Time][]turmericwall.PlacementUpdate)
+	updates := make(map[time.Time][]turmericwall.PlacementUpdate)
 	for millis := 0; millis < 6500; millis += 25 {
 		at := start.Add(time.Duration(millis) * time.Millisecond)
-		for targetAt, list := range ends {
+		for targetAt, list := range updates {
 			if targetAt.After(at) {
 				continue
 			}
-			for _, end := range list {
-				a.ApplyUpdate(at, end)
+			for _, update := range list {
+				a.ApplyUpdate(at, update)
 			}
-			delete(ends, targetAt)
+			delete(updates, targetAt)
 		}
 		id := fmt.Sprint("call", millis)
 		a.Enqueue(at, placeRequest(id, at, 2000, 300))
 		for _, p := range a.Decide(at).Placed {
-			end := turmericwall.PlacementUpdate{ID: p.ID, Prefilled: true, PrefillMillis: 40}
+			update := turmericwall.PlacementUpdate{ID: p.ID, Prefilled: true, PrefillMillis: 40}
 			if failing[p.Decode.ID] {
 				lost++
-				end.FailedEngine = p.Decode.ID
-				ends[at.Add(10*time.Millisecond)] = append(ends[at.Add(10*time.Millisecond)], end)
+				update.FailedEngine = p.Decode.ID
+				updates[at.Add(10*time.Millisecond)] = append(updates[at.Add(10*time.Millisecond)], update)
 				continue
 			}
 			served++
-			end.AnswerTokens, end.AnswerMillis = 300, 500
-			ends[at.Add(500*time.Millisecond)] = append(ends[at.Add(500*time.Millisecond)], end)
+			update.AnswerTokens, update.AnswerMillis = 300, 500
+			updates[at.Add(500*time.Millisecond)] = append(updates[at.Add(500*time.Millisecond)], update)
 		}
 	}
 	g.Expect(lost).To(BeNumerically("<=", 8), "at most four calls for each failing engine")
--- a/internal/placement/twallocator/promptcache.go
+++ b/internal/placement/twallocator/promptcache.go
@@ -98,9 +98,9 @@
 
 // recordCacheOutcome records whether the engine had the prompt in its cache. Full engines evict cached prompts for new
 // runs.
-func (a *Allocator) recordCacheOutcome(now time.Time, r *run, end turmericwall.PlacementUpdate) {
+func (a *Allocator) recordCacheOutcome(now time.Time, r *run, update turmericwall.PlacementUpdate) {
 	hit := 0.0
-	if float64(end.PrefillMillis) <
+	if float64(update.PrefillMillis) <
 		cacheMissShare*float64(r.work.PromptTokens)/a.bestPrefillSpeed*a.tuning.LocalPrefillSlowdown {
 		hit = 1
 	}
--- a/internal/placement/twallocator/shortage.go
+++ b/internal/placement/twallocator/shortage.go
@@ -39,7 +39,7 @@
 
 // EngineDemand returns the shortage and surplus of each role and the mean cost of a call.
 func (a *Allocator) EngineDemand(now time.Time) turmericwall.EngineDemand {
-	need := turmericwall.EngineDemand{
+	demand := turmericwall.EngineDemand{
 		Busy: a.Busy(),
 		Prefill: turmericwall.RoleDemand{
 			Shortage: a.prefillShortage.isLasting(now), Surplus: a.prefillShortage.hasEnded(now),
@@ -49,6 +49,6 @@
 			Surplus:  a.decodeShortage.hasEnded(now) && a.newDecisionState(now).memoryFill() < maxSurplusFill,
 		},
 	}
-	need.Cost, need.CostKnown = a.cost.Mean(a.bestPrefillSpeed)
-	return need
+	demand.Cost, demand.CostKnown = a.cost.Mean(a.bestPrefillSpeed)
+	return demand
 }
--- a/internal/placement/twallocator/shortage_test.go
+++ b/internal/placement/twallocator/shortage_test.go
@@ -38,10 +38,10 @@
 	sim = newSimulation(1, 9)
 	sim.pausesStreams = true
 	at = requestAbovePrefillRate(sim, 5*time.Second)
-	need := sim.allocator.EngineDemand(at)
-	g.Expect(need.Prefill).To(Equal(turmericwall.RoleDemand{Shortage: true}))
-	g.Expect(need.Decode).To(Equal(turmericwall.RoleDemand{Surplus: true}))
-	g.Expect(need.CostKnown).To(BeTrue())
+	demand := sim.allocator.EngineDemand(at)
+	g.Expect(demand.Prefill).To(Equal(turmericwall.RoleDemand{Shortage: true}))
+	g.Expect(demand.Decode).To(Equal(turmericwall.RoleDemand{Surplus: true}))
+	g.Expect(demand.CostKnown).To(BeTrue())
 	g.Expect(sim.allocator.EngineDemand(at.Add(16*time.Second)).Prefill).To(
 		Equal(turmericwall.RoleDemand{Surplus: true}), "the shortage has ended")
 }
--- a/internal/placement/twallocator/speeds.go
+++ b/internal/placement/twallocator/speeds.go
@@ -8,11 +8,11 @@
 )
 
 // recordAnswer updates the decode speed of all engines and of the one that answered.
-func (a *Allocator) recordAnswer(end turmericwall.PlacementUpdate) {
-	speed := float64(end.AnswerTokens) / float64(end.AnswerMillis)
+func (a *Allocator) recordAnswer(update turmericwall.PlacementUpdate) {
+	speed := float64(update.AnswerTokens) / float64(update.AnswerMillis)
 	a.decodeSpeed = movingAverage(a.decodeSpeed, speed)
-	a.cost.RecordAnswer(float64(end.AnswerTokens), float64(end.AnswerMillis))
-	e, ok := a.engines[a.engineByCall[end.ID]]
+	a.cost.RecordAnswer(float64(update.AnswerTokens), float64(update.AnswerMillis))
+	e, ok := a.engines[a.engineByCall[update.ID]]
 	if !ok {
 		return
 	}
@@ -29,14 +29,14 @@
 }
 
 // recordPrefill records that the prefill has ended and the answer begins.
-func (a *Allocator) recordPrefill(now time.Time, end turmericwall.PlacementUpdate) {
-	engineID, ok := a.engineByCall[end.ID]
+func (a *Allocator) recordPrefill(now time.Time, update turmericwall.PlacementUpdate) {
+	engineID, ok := a.engineByCall[update.ID]
 	if !ok {
 		return
 	}
 	e := a.engines[engineID]
 	e.fullRefusals = 0
-	r := e.runs[end.ID]
+	r := e.runs[update.ID]
 	if !r.prefilling {
 		return
 	}
@@ -45,7 +45,7 @@
 	e.memoryProjection = nil
 	a.callers.recordEngine(now, r.work, e)
 	if r.promptCached {
-		a.recordCacheOutcome(now, r, end)
+		a.recordCacheOutcome(now, r, update)
 		return
 	}
 	prefillEngine, ok := a.engines[r.prefillEngineID]
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -111,15 +111,15 @@
 }
 
 // refund refunds the units of a placed call that no engine ran.
-func (c *Coordinator) refund(end turmericwall.PlacementUpdate) {
-	if end.Running {
+func (c *Coordinator) refund(update turmericwall.PlacementUpdate) {
+	if update.Running {
 		return
 	}
 	c.mu.Lock()
-	entry, ok := c.charges[end.ID]
-	delete(c.charges, end.ID)
+	entry, ok := c.charges[update.ID]
+	delete(c.charges, update.ID)
 	c.mu.Unlock()
-	if ok && end.NotRun {
+	if ok && update.NotRun {
 		c.config.Quotas.Refund(entry.account, entry.units)
 	}
 }
@@ -139,15 +139,15 @@
 }
 
 // ApplyUpdate applies a report on a placed call and makes the decisions that it allows.
-func (c *Coordinator) ApplyUpdate(end turmericwall.PlacementUpdate) {
-	c.refund(end)
+func (c *Coordinator) ApplyUpdate(update turmericwall.PlacementUpdate) {
+	c.refund(update)
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.service(end.Service)
-	c.refreshInputs(now, end.Service, s)
-	s.allocator.ApplyUpdate(now, end)
-	c.decide(now, end.Service, s)
+	s := c.service(update.Service)
+	c.refreshInputs(now, update.Service, s)
+	s.allocator.ApplyUpdate(now, update)
+	c.decide(now, update.Service, s)
 }
 
 // ReleaseOwner releases the calls of a daemon that has terminated.
@@ -160,13 +160,13 @@
 }
 
 // Adopt adds a call that was placed by another daemon.
-func (c *Coordinator) Adopt(run turmericwall.PlacedCall) {
+func (c *Coordinator) Adopt(placed turmericwall.PlacedCall) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.service(run.Request.Service)
-	c.refreshInputs(now, run.Request.Service, s)
-	s.allocator.Adopt(now, run)
+	s := c.service(placed.Request.Service)
+	c.refreshInputs(now, placed.Request.Service, s)
+	s.allocator.Adopt(now, placed)
 }
 
 // RecordCachedPrompts records the cached prompts that an engine reports.
--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -41,9 +41,9 @@
 	mu     sync.Mutex
 	// placedCalls are this daemon's placed calls by id, to be reported to a new leader.
 	placedCalls map[string]*placedCall
-	// pendingEnds are the reports on calls that have not been sent to the leader.
-	pendingEnds []turmericwall.PlacementUpdate
-	wake        chan struct{}
+	// pendingUpdates are the reports on calls that have not been sent to the leader.
+	pendingUpdates []turmericwall.PlacementUpdate
+	wake           chan struct{}
 	// informedLeader is the leader that has received the placed calls.
 	informedLeader turmericwall.Member
 }
@@ -93,18 +93,18 @@
 }
 
 // ApplyUpdate applies a report on a placed call locally and queues it for the leader; it never blocks on the network.
-func (d *Delegate) ApplyUpdate(end turmericwall.PlacementUpdate) {
-	d.config.Local.ApplyUpdate(end)
+func (d *Delegate) ApplyUpdate(update turmericwall.PlacementUpdate) {
+	d.config.Local.ApplyUpdate(update)
 	d.mu.Lock()
-	if run, ok := d.placedCalls[end.ID]; ok && end.Running && end.Prefilled {
+	if run, ok := d.placedCalls[update.ID]; ok && update.Running && update.Prefilled {
 		run.started = true
 		run.prefillEndsAt = time.Now()
 	}
-	if !end.Running {
-		delete(d.placedCalls, end.ID)
+	if !update.Running {
+		delete(d.placedCalls, update.ID)
 	}
-	if len(d.pendingEnds) < maxPendingEnds {
-		d.pendingEnds = append(d.pendingEnds, end)
+	if len(d.pendingUpdates) < maxPendingEnds {
+		d.pendingUpdates = append(d.pendingUpdates, update)
 	}
 	d.mu.Unlock()
 	select {
@@ -129,7 +129,7 @@
 		}
 		if self {
 			d.mu.Lock()
-			d.pendingEnds = nil
+			d.pendingUpdates = nil
 			d.informedLeader = leader
 			d.mu.Unlock()
 			continue
@@ -207,16 +207,16 @@
 		d.mu.Unlock()
 		return
 	}
-	runs := make([]turmericwall.PlacedCall, 0, len(d.placedCalls))
+	placedCalls := make([]turmericwall.PlacedCall, 0, len(d.placedCalls))
 	for _, run := range d.placedCalls {
-		runs = append(runs, turmericwall.PlacedCall{
+		placedCalls = append(placedCalls, turmericwall.PlacedCall{
 			Request: run.request, Engine: run.engine, AgeMillis: time.Since(run.prefillEndsAt).Milliseconds(),
 		})
 	}
 	d.mu.Unlock()
-	if err := d.config.Peers.ReportPlacedCalls(ctx, leader.Address, runs); err != nil {
+	if err := d.config.Peers.ReportPlacedCalls(ctx, leader.Address, placedCalls); err != nil {
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
-			Str("leader", leader.Name).Int("runs", int64(len(runs))).Err(err).Send()
+			Str("leader", leader.Name).Int("runs", int64(len(placedCalls))).Err(err).Send()
 		return
 	}
 	d.mu.Lock()
@@ -227,18 +227,18 @@
 // sendEnds sends the queued reports to the leader and queues them again when that fails.
 func (d *Delegate) sendEnds(ctx context.Context, leader turmericwall.Member) {
 	d.mu.Lock()
-	ends := d.pendingEnds
-	d.pendingEnds = nil
+	updates := d.pendingUpdates
+	d.pendingUpdates = nil
 	d.mu.Unlock()
-	if len(ends) == 0 {
+	if len(updates) == 0 {
 		return
 	}
-	if err := d.config.Peers.SendUpdates(ctx, leader.Address, ends); err != nil {
+	if err := d.config.Peers.SendUpdates(ctx, leader.Address, updates); err != nil {
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
-			Str("leader", leader.Name).Int("ends", int64(len(ends))).Err(err).Send()
+			Str("leader", leader.Name).Int("ends", int64(len(updates))).Err(err).Send()
 		d.mu.Lock()
-		if len(d.pendingEnds)+len(ends) < maxPendingEnds {
-			d.pendingEnds = append(ends, d.pendingEnds...)
+		if len(d.pendingUpdates)+len(updates) < maxPendingEnds {
+			d.pendingUpdates = append(updates, d.pendingUpdates...)
 		}
 		d.mu.Unlock()
 	}
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -20,12 +20,12 @@
 // fakeLeader is the leader's side of the calls between daemons.
 type fakeLeader struct {
 	turmericwall.PeerClient
-	mu      sync.Mutex
-	place   func(ctx context.Context) (turmericwall.Placement, error)
-	ended   []turmericwall.PlacementUpdate
-	runs    []turmericwall.PlacedCall
-	reports int
-	failing bool
+	mu          sync.Mutex
+	place       func(ctx context.Context) (turmericwall.Placement, error)
+	ended       []turmericwall.PlacementUpdate
+	placedCalls []turmericwall.PlacedCall
+	reports     int
+	failing     bool
 }
 
 func (l *fakeLeader) Place(
@@ -36,13 +36,13 @@
 	return p, err
 }
 
-func (l *fakeLeader) SendUpdates(_ context.Context, _ string, ends []turmericwall.PlacementUpdate) error {
+func (l *fakeLeader) SendUpdates(_ context.Context, _ string, updates []turmericwall.PlacementUpdate) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failing {
 		return errors.New("leader unreachable")
 	}
-	l.ended = append(l.ended, ends...)
+	l.ended = append(l.ended, updates...)
 	return nil
 }
 
@@ -50,11 +50,11 @@
 	return turmericwall.AdmitReply{}, nil
 }
 
-func (l *fakeLeader) ReportPlacedCalls(_ context.Context, _ string, runs []turmericwall.PlacedCall) error {
+func (l *fakeLeader) ReportPlacedCalls(_ context.Context, _ string, placedCalls []turmericwall.PlacedCall) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports++
-	l.runs = runs
+	l.placedCalls = placedCalls
 	return nil
 }
 
@@ -63,8 +63,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	oldest := int64(0)
-	for _, run := range l.runs {
-		oldest = max(oldest, run.AgeMillis)
+	for _, placed := range l.placedCalls {
+		oldest = max(oldest, placed.AgeMillis)
 	}
 	return oldest
 }
@@ -72,7 +72,7 @@
 func (l *fakeLeader) counts() (ended, runs, reports int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.ended), len(l.runs), l.reports
+	return len(l.ended), len(l.placedCalls), l.reports
 }
 
 // fixture is a running delegate with a fake leader, which is current while live is set.
@@ -219,7 +219,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	s.setLeader("next", true)
 	g.Eventually(func() int { _, runs, _ := s.leader.counts(); return runs }).Should(Equal(1))
-	g.Expect(s.leader.runs[0].Engine).To(Equal("d"))
+	g.Expect(s.leader.placedCalls[0].Engine).To(Equal("d"))
 	g.Consistently(func() int { _, _, reports := s.leader.counts(); return reports }, 300*time.Millisecond).
 		Should(Equal(1))
 }
--- a/internal/placement/twrolechange/rolechanges.go
+++ b/internal/placement/twrolechange/rolechanges.go
@@ -9,7 +9,7 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// RoleChanges are the engines that accepted a role change and don't report their new role yet. It is safe for
+// RoleChanges tracks the engines that accepted a role change and don't report their new role yet. It is safe for
 // concurrent use.
 //
 // These engines refuse all calls. Without the report, a peer that becomes the leader or places calls locally would
@@ -24,7 +24,7 @@
 	deadline time.Time
 }
 
-// New returns an Away without engines.
+// New returns RoleChanges without engines.
 func New() *RoleChanges { return &RoleChanges{engines: make(map[string]change)} }
 
 // Add adds an engine that accepted a change to the role. The change is discarded after the deadline, even if the
--- a/internal/placement/twroleorders/sender.go
+++ b/internal/placement/twroleorders/sender.go
@@ -19,7 +19,7 @@
 	orderTimeout = 600 * time.Millisecond
 )
 
-// Config holds the dependencies of the orders.
+// Config holds the dependencies of a Sender.
 type Config struct {
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
@@ -43,13 +43,13 @@
 	planners map[string]*twroles.Planner
 }
 
-// New returns orders; none is sent before Run.
+// New returns a Sender; no order is sent before Run.
 func New(config Config) *Sender {
 	return &Sender{config: config, planners: make(map[string]*twroles.Planner)}
 }
 
 // Run sends the orders that are due until ctx is done. Without the lease it discards its plans.
-func (o *Sender) Run(ctx context.Context) error {
+func (s *Sender) Run(ctx context.Context) error {
 	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
@@ -58,25 +58,25 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if _, ok := o.config.Fence(); !ok {
-			o.mu.Lock()
-			clear(o.planners)
-			o.mu.Unlock()
+		if _, ok := s.config.Fence(); !ok {
+			s.mu.Lock()
+			clear(s.planners)
+			s.mu.Unlock()
 			continue
 		}
-		for _, service := range o.config.Services() {
+		for _, service := range s.config.Services() {
 			if service.Engine != nil {
-				o.orderChanges(ctx, service)
+				s.orderChanges(ctx, service)
 			}
 		}
 	}
 }
 
-func (o *Sender) orderChanges(ctx context.Context, service turmericwall.ServicePlan) {
-	for _, change := range o.planChanges(service) {
-		accepted, err := o.sendOrder(ctx, change)
-		o.recordOutcome(service.Name, change, accepted, err)
-		entry := o.config.Recorder.Record(turmericwall.EventRoleOrdered).
+func (s *Sender) orderChanges(ctx context.Context, service turmericwall.ServicePlan) {
+	for _, change := range s.planChanges(service) {
+		accepted, err := s.sendOrder(ctx, change)
+		s.recordOutcome(service.Name, change, accepted, err)
+		entry := s.config.Recorder.Record(turmericwall.EventRoleOrdered).
 			Str("upstream", change.Upstream.ID).Str("role", string(change.Role)).
 			Int("prefills", int64(change.Prefills)).Int("decodes", int64(change.Decodes)).
 			Int("readMicros", int64(change.Cost.PrefillMillis*1000)).
@@ -93,28 +93,28 @@
 
 // planChanges reads the engines and the need before it locks mu. Placement holds a lock that Need waits for while it
 // checks which engines are changing their role.
-func (o *Sender) planChanges(service turmericwall.ServicePlan) []twroles.Change {
-	engines, need := o.config.Engines(service.Name), o.config.EngineDemand(service.Name)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	planner, ok := o.planners[service.Name]
+func (s *Sender) planChanges(service turmericwall.ServicePlan) []twroles.Change {
+	engines, demand := s.config.Engines(service.Name), s.config.EngineDemand(service.Name)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	planner, ok := s.planners[service.Name]
 	if !ok {
-		planner = twroles.New(o.config.Tuning)
-		o.planners[service.Name] = planner
+		planner = twroles.New(s.config.Tuning)
+		s.planners[service.Name] = planner
 	}
-	return planner.Plan(time.Now(), *service.Engine, engines, need)
+	return planner.Plan(time.Now(), *service.Engine, engines, demand)
 }
 
 // recordOutcome records whether the engine accepted the order. An order without a reply may still be carried out
 // seconds later: the planner keeps counting the engine as changing, but the engine continues to get calls.
-func (o *Sender) recordOutcome(service string, change twroles.Change, accepted bool, err error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	planner, ok := o.planners[service]
+func (s *Sender) recordOutcome(service string, change twroles.Change, accepted bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	planner, ok := s.planners[service]
 	switch {
 	case !ok || err != nil:
 	case accepted:
-		o.config.OnAccepted(change.Upstream.ID, change.Role, change.Until)
+		s.config.OnAccepted(change.Upstream.ID, change.Role, change.Until)
 	default:
 		planner.DiscardChange(change.Upstream.ID)
 	}
@@ -122,21 +122,21 @@
 
 // sendOrder sends one order. It first reads how many orders the engine has accepted and sends that number along, so
 // that the engine refuses an order that arrives late, after another one.
-func (o *Sender) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
+func (s *Sender) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	load, err := o.config.Upstreams.FetchLoad(ctx, change.Upstream)
+	load, err := s.config.Upstreams.FetchLoad(ctx, change.Upstream)
 	if err != nil {
 		return false, err
 	}
 	if load.ChangingRole || load.Role == change.Role {
 		return false, nil
 	}
-	fence, ok := o.config.Fence()
+	fence, ok := s.config.Fence()
 	if !ok {
 		return false, nil
 	}
-	return o.config.Upstreams.ChangeRole(ctx, change.Upstream, turmericwall.RoleOrder{
-		Role: change.Role, Holder: o.config.Holder, Fence: fence, OrderCount: load.OrderCount,
+	return s.config.Upstreams.ChangeRole(ctx, change.Upstream, turmericwall.RoleOrder{
+		Role: change.Role, Holder: s.config.Holder, Fence: fence, OrderCount: load.OrderCount,
 	})
 }
--- a/internal/placement/twroleorders/sender_test.go
+++ b/internal/placement/twroleorders/sender_test.go
@@ -41,7 +41,7 @@
 		{ID: "b", Role: turmericwall.RolePrefill},
 		{ID: "c", Role: turmericwall.RoleDecode},
 	}
-	o := twroleorders.New(twroleorders.Config{
+	s := twroleorders.New(twroleorders.Config{
 		Services: func() []turmericwall.ServicePlan {
 			return []turmericwall.ServicePlan{{Name: "s", Engine: &turmericwall.EnginePlan{RoleChangeMillis: 500}}}
 		},
@@ -55,7 +55,7 @@
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- o.Run(ctx) }()
+	go func() { done <- s.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		select {
--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -79,7 +79,7 @@
 // An engine serves no calls while it changes its role. While calls are under way, an engine therefore changes only if
 // that raises what all engines together can serve, and if its pool can spare it during the change.
 func (r *Planner) Plan(
-	now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, need turmericwall.EngineDemand,
+	now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, demand turmericwall.EngineDemand,
 ) []Change {
 	r.trackPresence(now, engines)
 	if !r.settled(now, len(engines)) {
@@ -88,7 +88,7 @@
 	p := r.buildPools(now, engines)
 	var changes []Change
 	for {
-		role, ok := r.nextRole(p, need)
+		role, ok := r.nextRole(p, demand)
 		if !ok {
 			break
 		}
@@ -99,7 +99,7 @@
 		until := now.Add(time.Duration(plan.RoleChangeMillis+roleReportDelayMillis) * time.Millisecond)
 		changes = append(changes, Change{
 			Upstream: u, Role: role, Prefills: p.final.Prefills, Decodes: p.final.Decodes, Until: until,
-			Cost: need.Cost,
+			Cost: demand.Cost,
 		})
 		r.pendingChanges[u.ID] = change{role: role, until: until}
 		p.final = p.final.Moved(role)
@@ -108,20 +108,22 @@
 }
 
 // nextRole returns the role that one more engine should take; ok is false if the split should stay.
-func (r *Planner) nextRole(p *pools, need turmericwall.EngineDemand) (turmericwall.Role, bool) {
-	if !need.CostKnown {
-		return r.nextRoleByShare(p.final, need.Busy)
+func (r *Planner) nextRole(p *pools, demand turmericwall.EngineDemand) (turmericwall.Role, bool) {
+	if !demand.CostKnown {
+		return r.nextRoleByShare(p.final, demand.Busy)
 	}
 	for _, role := range []turmericwall.Role{turmericwall.RolePrefill, turmericwall.RoleDecode} {
-		if need.Busy && !p.needsEngine(role, need) {
+		if demand.Busy && !p.needsEngine(role, demand) {
 			continue
 		}
 		gain := 0.0
-		if need.Busy {
+		if demand.Busy {
 			gain = r.tuning.MinGain
 		}
-		best := p.final.Best(role, need.Cost)
-		if best.Score(need.Cost) > p.final.Score(need.Cost)*(1+gain) && (!need.Busy || p.canSpare(role, need.Cost)) {
+		best := p.final.Best(role, demand.Cost)
+		if best.Score(demand.Cost) > p.final.Score(demand.Cost)*(1+gain) && (!demand.Busy || p.canSpare(
+			role, demand.Cost,
+		)) {
 			return role, true
 		}
 	}
@@ -131,11 +133,11 @@
 // needsEngine reports whether the role should get an engine while calls are under way: it has none; or for prefill,
 // calls find no prefill engine in time and decode engines have a surplus; or for decode, prefill engines have a
 // surplus.
-func (p *pools) needsEngine(role turmericwall.Role, need turmericwall.EngineDemand) bool {
+func (p *pools) needsEngine(role turmericwall.Role, demand turmericwall.EngineDemand) bool {
 	if role == turmericwall.RolePrefill {
-		return (need.Prefill.Shortage && need.Decode.Surplus) || p.final.Prefills == 0
+		return (demand.Prefill.Shortage && demand.Decode.Surplus) || p.final.Prefills == 0
 	}
-	return need.Prefill.Surplus || p.final.Decodes == 0
+	return demand.Prefill.Surplus || p.final.Decodes == 0
 }
 
 // nextRoleByShare returns the role that lacks engines while the cost of calls is unknown.
--- a/internal/placement/twroles/roles_test.go
+++ b/internal/placement/twroles/roles_test.go
@@ -23,8 +23,8 @@
 )
 
 // busyNeed is the need of calls with the given cost.
-func busyNeed(cost turmericwall.CallCost, readers, answerers turmericwall.RoleDemand) turmericwall.EngineDemand {
-	return turmericwall.EngineDemand{Busy: true, CostKnown: true, Cost: cost, Prefill: readers, Decode: answerers}
+func busyNeed(cost turmericwall.CallCost, prefill, decode turmericwall.RoleDemand) turmericwall.EngineDemand {
+	return turmericwall.EngineDemand{Busy: true, CostKnown: true, Cost: cost, Prefill: prefill, Decode: decode}
 }
 
 var (
@@ -81,10 +81,10 @@
 func TestACrashAtThePeakMovesNoEngine(t *testing.T) {
 	g := NewWithT(t)
 	r, at := settledPlanner(engines(4, 14))
-	need := busyNeed(decodeHeavy, balanced, shortage)
-	g.Expect(r.Plan(at, plan, engines(4, 10), need)).To(BeEmpty())
-	g.Expect(r.Plan(at.Add(4*time.Second), plan, engines(4, 14), need)).To(BeEmpty())
-	g.Expect(r.Plan(at.Add(8*time.Second), plan, engines(3, 14), need)).To(BeEmpty())
+	demand := busyNeed(decodeHeavy, balanced, shortage)
+	g.Expect(r.Plan(at, plan, engines(4, 10), demand)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(4*time.Second), plan, engines(4, 14), demand)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(8*time.Second), plan, engines(3, 14), demand)).To(BeEmpty())
 }
 
 // A prefill engine crashes, and the others cannot prefill all calls in time. Its next incarnation registers under
@@ -93,13 +93,13 @@
 	g := NewWithT(t)
 	list := engines(4, 12)
 	r, at := settledPlanner(list)
-	need := busyNeed(decodeHeavy, shortage, surplus)
-	r.Plan(at, plan, list, need)
-	g.Expect(r.Plan(at.Add(time.Second), plan, list[1:], need)).To(BeEmpty())
+	demand := busyNeed(decodeHeavy, shortage, surplus)
+	r.Plan(at, plan, list, demand)
+	g.Expect(r.Plan(at.Add(time.Second), plan, list[1:], demand)).To(BeEmpty())
 	restarted := list[0]
 	restarted.ID = "new"
-	g.Expect(r.Plan(at.Add(2*time.Second), plan, append(list[1:], restarted), need)).To(BeEmpty())
-	g.Expect(r.Plan(at.Add(8*time.Second), plan, append(list[1:], restarted), need)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(2*time.Second), plan, append(list[1:], restarted), demand)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(8*time.Second), plan, append(list[1:], restarted), demand)).To(BeEmpty())
 }
 
 // Two of three prefill engines announce at the peak that they leave. The decode engines have a surplus, so two of them
@@ -108,13 +108,13 @@
 	g := NewWithT(t)
 	list := engines(3, 9)
 	r, at := settledPlanner(list)
-	need := busyNeed(decodeHeavy, shortage, surplus)
-	g.Expect(r.Plan(at, plan, list, need)).To(BeEmpty())
+	demand := busyNeed(decodeHeavy, shortage, surplus)
+	g.Expect(r.Plan(at, plan, list, demand)).To(BeEmpty())
 	list[0].Leaving, list[1].Leaving = true, true
-	changes := r.Plan(at.Add(time.Second), plan, list, need)
+	changes := r.Plan(at.Add(time.Second), plan, list, demand)
 	g.Expect(changes).To(HaveLen(2))
 	g.Expect(changes[0].Role).To(Equal(turmericwall.RolePrefill))
-	g.Expect(r.Plan(at.Add(2*time.Second), plan, list, need)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(2*time.Second), plan, list, demand)).To(BeEmpty())
 }
 
 // The peak needs engines of both roles. A decode engine ordered to prefill would be unavailable when it is needed
@@ -176,10 +176,10 @@
 		} {
 			list := engines(total/2, total-total/2)
 			r, at := settledPlanner(list)
-			need := busyNeed(cost, surplus, surplus)
-			need.Busy = false
+			demand := busyNeed(cost, surplus, surplus)
+			demand.Busy = false
 			prefills := total / 2
-			for _, c := range r.Plan(at, plan, list, need) {
+			for _, c := range r.Plan(at, plan, list, demand) {
 				if c.Role == turmericwall.RolePrefill {
 					prefills++
 				} else {
--- a/peering.go
+++ b/peering.go
@@ -169,13 +169,13 @@
 	// Heartbeat sends a heartbeat and returns the daemon's reply.
 	Heartbeat(ctx context.Context, address string, heartbeat Heartbeat) (HeartbeatReply, error)
 	// FetchState requests newer state.
-	FetchState(ctx context.Context, address string, ask StateRequest) (SharedState, error)
+	FetchState(ctx context.Context, address string, request StateRequest) (SharedState, error)
 	// Place requests a placement from the leader. The error is a *Problem if the leader refused the call.
-	Place(ctx context.Context, address string, ask PlaceRequest) (Placement, error)
+	Place(ctx context.Context, address string, request PlaceRequest) (Placement, error)
 	// SendUpdates reports the progress and the end of placed calls to the leader.
-	SendUpdates(ctx context.Context, address string, ends []PlacementUpdate) error
+	SendUpdates(ctx context.Context, address string, updates []PlacementUpdate) error
 	// ReportPlacedCalls reports this daemon's placed calls to a new leader.
-	ReportPlacedCalls(ctx context.Context, address string, runs []PlacedCall) error
+	ReportPlacedCalls(ctx context.Context, address string, placedCalls []PlacedCall) error
 	// Admit requests sends to an upstream from the rate coordinator.
-	Admit(ctx context.Context, address string, ask AdmitRequest) (AdmitReply, error)
+	Admit(ctx context.Context, address string, request AdmitRequest) (AdmitReply, error)
 }
--- a/placements.go
+++ b/placements.go
@@ -108,8 +108,8 @@
 type EnginePlacer interface {
 	// Place blocks until the call is placed, refused or ctx ends. The error is a *Problem; that of a refusal has a
 	// retry time.
-	Place(ctx context.Context, ask PlaceRequest) (Placement, error)
+	Place(ctx context.Context, request PlaceRequest) (Placement, error)
 	// ApplyUpdate applies a report on a placed call, and releases the call's memory and slot unless Running is set. It
 	// never blocks.
-	ApplyUpdate(end PlacementUpdate)
+	ApplyUpdate(update PlacementUpdate)
 }
--- a/turmericwallctl/internal/twcommand/operations.go
+++ b/turmericwallctl/internal/twcommand/operations.go
@@ -36,7 +36,10 @@
 		}
 		all = append(all, d)
 		allInOrder = allInOrder && d.Ready && d.Revision == all[0].Revision
-		rows = append(rows, []any{d.Incarnation, d.Ready, d.Revision, d.InFlight, d.Deferrable, d.Cancels, len(d.Peers), strings.Join(d.LedServices, ",")})
+		rows = append(rows, []any{
+			d.Incarnation, d.Ready, d.Revision, d.InFlight, d.Deferrable, d.Cancels, len(d.Peers),
+			strings.Join(d.LedServices, ","),
+		})
 	}
 	if err := o.write(all, rows...); err != nil {
 		return err
