--- a/internal/admission/twauthenticator/authenticator_test.go
+++ b/internal/admission/twauthenticator/authenticator_test.go
@@ -143,7 +143,6 @@
 	g.Expect(f.CheckCredential(got)).To(Succeed())
 	f.apply(2, "k1")
 	g.Expect(turmericwall.IsKind(f.CheckCredential(got), turmericwall.KindUnauthorized)).To(BeTrue())
-	g.Expect(
-		f.CheckCredential(twauthenticator.Credential{}),
-	).To(Succeed(), "an anonymous call has no key that could be removed")
+	g.Expect(f.CheckCredential(twauthenticator.Credential{})).To(
+		Succeed(), "an anonymous call has no key that could be removed")
 }
--- a/internal/delivery/twbackoff/backoffs_test.go
+++ b/internal/delivery/twbackoff/backoffs_test.go
@@ -20,9 +20,8 @@
 	b.Record(now, key, after(5))
 	b.Record(now, key, after(2))
 	g.Expect(b.BackoffUntil(now, key)).To(Equal(after(5)))
-	g.Expect(
-		b.BackoffUntil(now, turmericwall.UpstreamKey{ID: "a", StartedMillis: 2}),
-	).To(BeZero(), "another incarnation")
+	g.Expect(b.BackoffUntil(now, turmericwall.UpstreamKey{ID: "a", StartedMillis: 2})).To(
+		BeZero(), "another incarnation")
 	g.Expect(b.BackoffUntil(after(5), key)).To(BeZero())
 	b.DiscardExpired(after(5))
 	b.Record(now, key, after(1_000_000))
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -117,9 +117,8 @@
 	g.Expect(c.ReportPlacedCalls(ctx, address, []turmericwall.PlacedCall{
 		{Request: placeRequest(), Engine: "d", AgeMillis: -40},
 	})).To(Succeed())
-	g.Expect(
-		[]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Request.ID},
-	).To(Equal([]any{"d", int64(-40), "1/0"}))
+	g.Expect([]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Request.ID}).To(
+		Equal([]any{"d", int64(-40), "1/0"}))
 	got, err := c.Heartbeat(ctx, address, turmericwall.Heartbeat{
 		Term:     3,
 		Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, RemainingMillis: 70}},
--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -226,9 +226,8 @@
 							m.fetch(i)
 						}
 						if m.now.Sub(max(connectedSince[i], leaderCurrentSince)) > time.Second {
-							g.Expect(
-								d.proof.AdmitsListedKey(m.now),
-							).To(BeTrue(), "daemon %d refuses at tick %d", i, tick)
+							g.Expect(d.proof.AdmitsListedKey(m.now)).To(
+								BeTrue(), "daemon %d refuses at tick %d", i, tick)
 						}
 					}
 					_, found := m.findViolation()
--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -121,9 +121,8 @@
 			gain = r.tuning.MinGain
 		}
 		best := p.final.Best(role, demand.Cost)
-		if best.Score(demand.Cost) > p.final.Score(demand.Cost)*(1+gain) && (!demand.Busy || p.canSpare(
-			role, demand.Cost,
-		)) {
+		if best.Score(demand.Cost) > p.final.Score(demand.Cost)*(1+gain) &&
+			(!demand.Busy || p.canSpare(role, demand.Cost)) {
 			return role, true
 		}
 	}
