--- a/decisions.go
+++ b/decisions.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Event is an input of a Policy: Arrival, Finished, Reported, Cached, Listed, OwnerLost, Withdrawn or Tick.
+// Event is an input of a Policy: Arrival, AttemptEnded, EngineReported, CacheChanged, EnginesListed, OwnerLost,
+// ArrivalWithdrawn or Tick.
 type Event interface{ isEvent() }
 
 // Action is an output of a Policy: Grant, Refusal or Sweep.
--- a/feeds.go
+++ b/feeds.go
@@ -10,7 +10,7 @@
 // again.
 var ErrHistoryLost = errors.New("the store no longer keeps these changes; read all rows again")
 
-// FeedRow is one row of a table, or a record of its removal if Dropped is set.
+// FeedRow is one row of a table, or a record of its removal if Removed is set.
 type FeedRow struct {
 	Key     string
 	Value   []byte
--- a/internal/admission/twquota/meter.go
+++ b/internal/admission/twquota/meter.go
@@ -48,11 +48,12 @@
 type Config struct {
 	// Account returns an account of the plan in force.
 	Account func(name string) (turmericwall.ClientAccount, bool)
-	// Leading reports whether this daemon is the leader, Led whether it receives the heartbeats of another one.
+	// Leading reports whether this daemon is the leader, FollowsLiveLeader whether it receives the heartbeats of
+	// another one.
 	Leading           func() bool
 	FollowsLiveLeader func() bool
-	// Daemons returns the number of live daemons, 0 while it is unknown. Absent returns how many more answered the
-	// leader recently.
+	// Daemons returns the number of live daemons, 0 while it is unknown. UnresponsiveDaemons returns how many more
+	// answered the leader recently.
 	Daemons             func() int
 	UnresponsiveDaemons func() int
 	// WindowSeconds, Overage and Slack bound the use over a quota of all daemons together. In any window of
@@ -358,8 +359,8 @@
 	return list
 }
 
-// ApplyLevels applies the levels in a heartbeat of the leader with the given incarnation. It must be called before Uses
-// is called for the reply to that heartbeat.
+// ApplyLevels applies the levels in a heartbeat of the leader with the given incarnation. It must be called before
+// LocalUses is called for the reply to that heartbeat.
 func (m *Meter) ApplyLevels(leader string, levels []turmericwall.AccountLevel) {
 	now := m.config.Now()
 	m.mu.Lock()
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -61,8 +61,8 @@
 	// Rank returns this daemon's rank among all daemons in the last heartbeat, their number, which is 0 while it is
 	// unknown, and the time at which the heartbeat was received.
 	Rank func() (rank, daemons int, at time.Time)
-	// Daemons returns the number of live daemons. Absent returns how many more answered this daemon recently, while it
-	// is the leader.
+	// Daemons returns the number of live daemons. UnresponsiveDaemons returns how many more answered this daemon
+	// recently, while it is the leader.
 	Daemons             func() int
 	UnresponsiveDaemons func() int
 	// Now returns the time of the monotonic clock.
--- a/internal/membership/twcluster/cluster.go
+++ b/internal/membership/twcluster/cluster.go
@@ -38,8 +38,8 @@
 	Recorder turmericwall.Recorder
 	// IsLeader reports whether this daemon is the leader, and its term.
 	IsLeader func() (term int64, ok bool)
-	// LeaseVersion is the version of the lease's row as this daemon knows it. LeaseTold applies the version that the
-	// leader sent.
+	// LeaseVersion is the version of the lease's row as this daemon knows it. ApplyLeaseVersion applies the version
+	// that the leader sent.
 	LeaseVersion      func() int64
 	ApplyLeaseVersion func(version int64, leader turmericwall.Member)
 	// LeaseExpired reports whether the leader failed to renew its lease within the term; it may be nil.
@@ -65,21 +65,21 @@
 	OnNominated func()
 	// OnOutranked is called when another daemon is the leader of a later term.
 	OnOutranked func()
-	// Changing lists the engines that are changing role. ChangingTold applies the leader's list.
+	// Changing lists the engines that are changing role. ApplyChanging applies the leader's list.
 	Changing      func() []turmericwall.ChangingEngine
 	ApplyChanging func([]turmericwall.ChangingEngine)
-	// Uses is what this daemon itself counted against quotas, and TakeUses records the counts of another daemon.
-	// Levels is what is left of quotas by the leader's count, and TakeLevels applies the leader's levels.
+	// Uses is what this daemon itself counted against quotas, and RecordUses records the counts of another daemon.
+	// Levels is what is left of quotas by the leader's count, and ApplyLevels applies the leader's levels.
 	Uses        func() []turmericwall.AccountUse
 	RecordUses  func(incarnation string, up time.Duration, uses []turmericwall.AccountUse)
 	Levels      func() []turmericwall.AccountLevel
 	ApplyLevels func(leader string, levels []turmericwall.AccountLevel)
-	// Rates are the rate limits that upstreams state, and OwnRates those that this daemon received itself. TakeRates
+	// Rates are the rate limits that upstreams state, and OwnRates those that this daemon received itself. ApplyRates
 	// applies the rates of another daemon.
 	Rates      func() []turmericwall.UpstreamRate
 	OwnRates   func() []turmericwall.UpstreamRate
 	ApplyRates func([]turmericwall.UpstreamRate)
-	// Leaving lists the upstreams that announced in an answer that they leave. TakeLeaving applies the list of
+	// Leaving lists the upstreams that announced in an answer that they leave. ApplyLeaving applies the list of
 	// another daemon.
 	Leaving      func() []turmericwall.UpstreamKey
 	ApplyLeaving func([]turmericwall.UpstreamKey)
@@ -105,7 +105,7 @@
 	// copiedVersion is the version of the leader's list of members that this daemon has copied.
 	copiedVersion int64
 	standbys      []turmericwall.Member
-	// wasFresh is the last result of Informed, so that only changes are logged.
+	// wasFresh is the last result of FollowsFreshLeader, so that only changes are logged.
 	wasFresh bool
 	// fetchRequests holds the daemon from which state has to be fetched next.
 	fetchRequests chan turmericwall.Member
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -437,7 +437,7 @@
 	g.Eventually(follows(a, "b"), eventualTimeout).Should(BeTrue())
 }
 
-// Guards against a deadlock: the election called Elected under its own lock, while the cluster held its lock and
+// Guards against a deadlock: the election called OnElected under its own lock, while the cluster held its lock and
 // called Holds. The daemon then answered no more requests.
 func TestElectedCallbackMayCallHolds(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -19,7 +19,7 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Config holds the functions that answer the calls. Keeps reports whether this daemon may place calls as the leader.
+// Config holds the functions that answer the calls. IsLeader reports whether this daemon may place calls as the leader.
 type Config struct {
 	ApplyHeartbeat  func(turmericwall.Heartbeat) turmericwall.HeartbeatReply
 	State           func(turmericwall.StateRequest) turmericwall.SharedState
--- a/internal/operations/twmetrics/metrics.go
+++ b/internal/operations/twmetrics/metrics.go
@@ -32,7 +32,7 @@
 	namesByPrefix map[string]map[string]bool
 }
 
-// New returns meters without any metric.
+// New returns Metrics without any entry.
 func New() *Metrics {
 	// Counters and histograms need none of the library's background timers, which serve rates.
 	return &Metrics{registry: metrics.NewRegistry(), namesByPrefix: make(map[string]map[string]bool)}
--- a/internal/operations/twserve/serve.go
+++ b/internal/operations/twserve/serve.go
@@ -9,7 +9,8 @@
 )
 
 // ServeUntilDone serves the listener until ctx ends, and then closes the server and its open connections. If the server
-// was shut down gracefully before, Until still waits for the end of ctx. It returns an error only if serving fails.
+// was shut down gracefully before, ServeUntilDone still waits for the end of ctx. It returns an error only if serving
+// fails.
 func ServeUntilDone(ctx context.Context, server *http.Server, listener net.Listener) error {
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- server.Serve(listener) }()
--- a/internal/placement/twinventory/inventory.go
+++ b/internal/placement/twinventory/inventory.go
@@ -32,7 +32,7 @@
 	requested chan struct{}
 }
 
-// New returns an inventory. Nothing is queried before Run and Want.
+// New returns an inventory. Nothing is queried before Run and RequestRefresh.
 func New(config Config) *Inventory {
 	return &Inventory{config: config, requested: make(chan struct{}, 1)}
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// Run queries the engines whenever Want was called, until ctx is done.
+// Run queries the engines whenever RequestRefresh was called, until ctx is done.
 func (i *Inventory) Run(ctx context.Context) error {
 	for {
 		select {
--- a/internal/placement/twroleorders/sender.go
+++ b/internal/placement/twroleorders/sender.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// planChanges reads the engines and the need before it locks mu. Placement holds a lock that Need waits for while it
-// checks which engines are changing their role.
+// planChanges reads the engines and the demand before it locks mu. Placement holds a lock that EngineDemand waits for
+// while it checks which engines are changing their role.
 func (s *Sender) planChanges(service turmericwall.ServicePlan) []twroles.Change {
 	engines, demand := s.config.Engines(service.Name), s.config.EngineDemand(service.Name)
 	s.mu.Lock()
--- a/peering.go
+++ b/peering.go
@@ -18,7 +18,7 @@
 	StateAgeMillis int64 `json:"storeMillis"`
 	// ProofAgeMillis is the age of the proof that PlanVersion is in force; negative if there is none.
 	ProofAgeMillis int64 `json:"proofMillis"`
-	// Echo returns the receiver's own Moment from its last reply.
+	// Echo returns the receiver's own BootTimeNanos from its last reply.
 	Echo Echo `json:"echo"`
 	// LeaseVersion is the version of the lease's row after the leader's last write.
 	LeaseVersion int64 `json:"leaseVersion"`
@@ -158,8 +158,8 @@
 	Declined bool `json:"declined,omitempty"`
 	// Granted is the number of sends that may be made at once.
 	Granted int `json:"granted,omitempty"`
-	// If no sends are granted, NextMillis is the time until the daemon may make its next request, and RetryMillis the
-	// time until the caller may retry.
+	// If no sends are granted, NextRequestMillis is the time until the daemon may make its next request, and
+	// RetryMillis the time until the caller may retry.
 	NextRequestMillis int64 `json:"nextMillis,omitempty"`
 	RetryMillis       int64 `json:"retryMillis,omitempty"`
 }
--- a/placements.go
+++ b/placements.go
@@ -59,13 +59,14 @@
 	FullEngine string `json:"Full"`
 	// FailedEngine is the ID of the engine that failed the call.
 	FailedEngine string `json:"Failed"`
-	// SuspectedEngine is the ID of an engine that is suspected to have failed the call, if the engine in Full did not.
+	// SuspectedEngine is the ID of an engine that is suspected to have failed the call, if the engine in FullEngine did
+	// not.
 	SuspectedEngine string `json:"Doubted"`
 	// NotRun is set if no engine ran the call, so that its charge is refunded.
 	NotRun bool `json:"NotRun"`
 	// Running is set if the call continues.
 	Running bool `json:"Running"`
-	// Prefilled is set if the prefill has ended; PromptMillis is its duration.
+	// Prefilled is set if the prefill has ended; PrefillMillis is its duration.
 	Prefilled     bool  `json:"PromptRead"`
 	PrefillMillis int64 `json:"PromptMillis"`
 	// AnswerTokens is the number of tokens that were decoded in the AnswerMillis since the first event.
@@ -89,9 +90,9 @@
 type EngineDemand struct {
 	// Busy is set while calls are placed or waiting.
 	Busy bool
-	// Prefill is about the prefill engines, Answerers about the decode engines.
+	// Prefill is about the prefill engines, Decode about the decode engines.
 	Prefill, Decode RoleDemand
-	// Cost is the mean cost of a call. Known is false while too few calls have been measured.
+	// Cost is the mean cost of a call. CostKnown is false while too few calls have been measured.
 	Cost      CallCost
 	CostKnown bool
 }
