--- a/internal/admission/twquota/alone.go
+++ b/internal/admission/twquota/alone.go
@@ -14,7 +14,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateState(s)
-	if s.leading {
+	if s.isLeader {
 		return m.chargeClusterBucket(s, found, units)
 	}
 	return m.chargeLocalShare(s, found, units)
--- a/internal/admission/twquota/meter.go
+++ b/internal/admission/twquota/meter.go
@@ -48,9 +48,9 @@
 type Config struct {
 	// Account returns an account of the plan in force.
 	Account func(name string) (turmericwall.ClientAccount, bool)
-	// Leading reports whether this daemon is the leader, FollowsLiveLeader whether it receives the heartbeats of
+	// IsLeader reports whether this daemon is the leader, FollowsLiveLeader whether it receives the heartbeats of
 	// another one.
-	Leading           func() bool
+	IsLeader          func() bool
 	FollowsLiveLeader func() bool
 	// Daemons returns the number of live daemons, 0 while it is unknown. UnresponsiveDaemons returns how many more
 	// answered the leader recently.
@@ -95,11 +95,11 @@
 // clusterState is this daemon's role and the size of the cluster. It is read without the meter's lock, since the
 // cluster calls the meter while it holds its own.
 type clusterState struct {
-	now     time.Time
-	leading bool
-	led     bool
-	daemons int
-	absent  int
+	now               time.Time
+	isLeader          bool
+	followsLiveLeader bool
+	daemons           int
+	unresponsive      int
 	// countedAt is when the daemons were counted.
 	countedAt time.Time
 }
@@ -138,9 +138,9 @@
 	defer m.mu.Unlock()
 	m.updateState(s)
 	switch {
-	case s.leading:
+	case s.isLeader:
 		return m.chargeClusterBucket(s, found, units)
-	case s.led && s.now.Sub(m.levelsAt) < levelsMaxAge:
+	case s.followsLiveLeader && s.now.Sub(m.levelsAt) < levelsMaxAge:
 		return m.chargeLevel(s.now, found, units)
 	default:
 		return m.chargeLocalShare(s, found, units)
@@ -157,7 +157,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateState(s)
-	if s.leading {
+	if s.isLeader {
 		m.clusterBucket(s, found).level += units
 		return
 	}
@@ -170,17 +170,19 @@
 // readState reads this daemon's role and the size of the cluster. The size is cached for daemonCountMaxAge, since
 // counting hundreds of members for each call is costly.
 func (m *Meter) readState() clusterState {
-	s := clusterState{now: m.config.Now(), leading: m.config.Leading(), led: m.config.FollowsLiveLeader()}
+	s := clusterState{
+		now: m.config.Now(), isLeader: m.config.IsLeader(), followsLiveLeader: m.config.FollowsLiveLeader(),
+	}
 	m.mu.Lock()
 	last := m.lastState
 	m.mu.Unlock()
-	if s.leading == last.leading && s.now.Sub(last.countedAt) < daemonCountMaxAge {
-		s.daemons, s.absent, s.countedAt = last.daemons, last.absent, last.countedAt
+	if s.isLeader == last.isLeader && s.now.Sub(last.countedAt) < daemonCountMaxAge {
+		s.daemons, s.unresponsive, s.countedAt = last.daemons, last.unresponsive, last.countedAt
 		return s
 	}
 	s.daemons, s.countedAt = m.config.Daemons(), s.now
-	if s.leading {
-		s.absent = m.config.UnresponsiveDaemons()
+	if s.isLeader {
+		s.unresponsive = m.config.UnresponsiveDaemons()
 	}
 	return s
 }
@@ -188,7 +190,7 @@
 // updateState records the state, and discards buckets and reports of an earlier term if this daemon became the leader;
 // the lock is held.
 func (m *Meter) updateState(s clusterState) {
-	if s.leading && !m.lastState.leading {
+	if s.isLeader && !m.lastState.isLeader {
 		m.clusterBuckets = make(map[string]*bucket)
 		m.reported = make(map[string]map[string]int64)
 	}
@@ -246,7 +248,7 @@
 // liveFraction returns the fraction of the daemons that answer the leader.
 func (s clusterState) liveFraction() float64 {
 	daemons := max(s.daemons, 1)
-	return float64(daemons) / float64(daemons+s.absent)
+	return float64(daemons) / float64(daemons+s.unresponsive)
 }
 
 // chargeLevel charges a call against the account's level in the leader's last heartbeat; the lock is held.
@@ -308,7 +310,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateState(s)
-	if !s.leading {
+	if !s.isLeader {
 		return
 	}
 	previous, known := m.reported[incarnation]
--- a/internal/admission/twquota/meter_test.go
+++ b/internal/admission/twquota/meter_test.go
@@ -81,24 +81,24 @@
 		Account: func(name string) (turmericwall.ClientAccount, bool) {
 			return turmericwall.ClientAccount{Name: name, Quota: f.quota}, name == "a" || name == "b"
 		},
-		Leading:           func() bool { return f.leader == i && !f.leaderDead() },
+		IsLeader:          func() bool { return f.leader == i && !f.leaderDead() },
 		FollowsLiveLeader: func() bool { return f.hasLeader(i) },
 		Daemons: func() int {
 			if f.daemonsUnknown {
 				return 0
 			}
-			return len(f.meters) - f.absent(i)
+			return len(f.meters) - f.countUnresponsive(i)
 		},
-		UnresponsiveDaemons: func() int { return f.absent(i) },
+		UnresponsiveDaemons: func() int { return f.countUnresponsive(i) },
 		Now:                 func() time.Time { return f.now.Add(-f.suspended[i]) }, Restarted: restarted,
 		Random:        rand.New(rand.NewPCG(uint64(i), 3)).Float64,
 		WindowSeconds: windowSeconds, Overage: f.overage, Slack: f.slack,
 	})
 }
 
-// absent returns the number of partitioned daemons if daemon i is the leader. The other daemons keep the last number of
-// daemons that they received.
-func (f *fleet) absent(i int) int {
+// countUnresponsive returns the number of partitioned daemons if daemon i is the leader. The other daemons keep the
+// last number of daemons that they received.
+func (f *fleet) countUnresponsive(i int) int {
 	if i != f.leader {
 		return 0
 	}
--- a/internal/admission/twquota/rate_fleet_test.go
+++ b/internal/admission/twquota/rate_fleet_test.go
@@ -17,10 +17,11 @@
 
 const (
 	// A daemon misses the leader after followerTimeout without a heartbeat, and the leader misses a daemon after
-	// memberTimeout without an answer. A missed daemon counts as absent until absentTimeout after its last answer.
-	followerTimeout = 700 * time.Millisecond
-	memberTimeout   = 1500 * time.Millisecond
-	absentTimeout   = 12 * time.Second
+	// memberTimeout without an answer. A missed daemon counts as unresponsive until unresponsiveTimeout after its last
+	// answer.
+	followerTimeout     = 700 * time.Millisecond
+	memberTimeout       = 1500 * time.Millisecond
+	unresponsiveTimeout = 12 * time.Second
 )
 
 // admitter is an algorithm that keeps the sends of a daemon within the rate of an upstream.
@@ -85,7 +86,7 @@
 	d.rates = twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: d.now})
 	d.throttle = twthrottle.New(twthrottle.Config{
 		Rates: d.rates, Backoffs: twbackoff.New(), Peers: d.fleet, Self: d.member(),
-		Leader: d.currentLeader, Now: d.now, Daemons: d.countDaemons, UnresponsiveDaemons: d.countAbsent,
+		Leader: d.currentLeader, Now: d.now, Daemons: d.countDaemons, UnresponsiveDaemons: d.countUnresponsive,
 		Standbys: func() []turmericwall.Member {
 			var others []turmericwall.Member
 			for _, s := range d.standbys {
@@ -125,11 +126,11 @@
 	return d.daemons
 }
 
-func (d *rateDaemon) countAbsent() int {
+func (d *rateDaemon) countUnresponsive() int {
 	if d.fleet.leader != d.index {
 		return 0
 	}
-	return d.fleet.countAnswered(d.index, absentTimeout) - d.fleet.countAnswered(d.index, memberTimeout)
+	return d.fleet.countAnswered(d.index, unresponsiveTimeout) - d.fleet.countAnswered(d.index, memberTimeout)
 }
 
 // countAnswered returns the number of daemons that last answered the leader no longer ago than maxAge.
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -85,8 +85,8 @@
 
 // clusterSize is the number of live daemons, and of those that are not live but answered the leader recently.
 type clusterSize struct {
-	daemons, absent int
-	validUntil      time.Time
+	daemons, unresponsive int
+	validUntil            time.Time
 }
 
 // allowance is what this daemon may send to one upstream.
@@ -328,7 +328,7 @@
 	}
 	next := clusterSize{daemons: t.config.Daemons(), validUntil: now.Add(daemonCountMaxAge)}
 	if _, leading, _ := t.config.Leader(); leading {
-		next.absent = t.config.UnresponsiveDaemons()
+		next.unresponsive = t.config.UnresponsiveDaemons()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -340,7 +340,7 @@
 // send slots.
 func (s clusterSize) liveFraction() float64 {
 	daemons := max(s.daemons, 1)
-	return float64(daemons) / float64(daemons+s.absent)
+	return float64(daemons) / float64(daemons+s.unresponsive)
 }
 
 // CanAdmitSend reports whether a send to the upstream may be admitted now.
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -439,7 +439,7 @@
 
 // Guards against a deadlock: the election called OnElected under its own lock, while the cluster held its lock and
 // called Holds. The daemon then answered no more requests.
-func TestElectedCallbackMayCallHolds(t *testing.T) {
+func TestOnElectedMayCallHolds(t *testing.T) {
 	g := NewWithT(t)
 	held := make(chan bool, 1)
 	var election *twelection.Election
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -37,7 +37,7 @@
 					Name: name, Quota: turmericwall.Quota{PerSecond: 10, Burst: 10, CountsTokens: true},
 				}, true
 			},
-			Leading: func() bool { return true }, FollowsLiveLeader: func() bool { return false },
+			IsLeader: func() bool { return true }, FollowsLiveLeader: func() bool { return false },
 			Daemons:             func() int { return 1 },
 			UnresponsiveDaemons: func() int { return 0 }, Random: func() float64 { return 0 }, Now: time.Now,
 		})
--- a/internal/membership/twwatch/watch_test.go
+++ b/internal/membership/twwatch/watch_test.go
@@ -173,21 +173,21 @@
 	g := NewWithT(t)
 	f := &feed{lists: []turmericwall.Snapshot{snapshot(5, 2)}, changes: []any{errors.New("connection reset")}}
 	var paused atomic.Bool
-	readElsewhere := time.Now()
+	peerReadAt := time.Now()
 	recorded := &follower{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
 		done <- twwatch.New(twwatch.Config{
 			Feed: f, Table: "t", Follower: recorded, Wait: time.Second, Paused: paused.Load,
-			PeerReadAt: func() time.Time { return readElsewhere.Add(time.Minute) },
+			PeerReadAt: func() time.Time { return peerReadAt.Add(time.Minute) },
 		}).Run(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-done })
 	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "unavailable"}))
 	paused.Store(true)
 	g.Eventually(recorded.allCalls, 3*time.Second).Should(Equal([]string{"reset", "unavailable", "regained"}))
-	g.Expect(recorded.observedLastRead()).To(Equal(readElsewhere.Add(time.Minute)))
+	g.Expect(recorded.observedLastRead()).To(Equal(peerReadAt.Add(time.Minute)))
 }
 
 // The store takes longer than usual for each answer. The next read must wait less for changes, so that the state gets
--- a/internal/operations/twmetrics/metrics_test.go
+++ b/internal/operations/twmetrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twmetrics"
 )
 
-func TestMetersAreServedAsText(t *testing.T) {
+func TestMetricsAreServedAsText(t *testing.T) {
 	g := NewWithT(t)
 	m := twmetrics.New()
 	m.Count("calls_answered", 2)
