--- a/decisions.go
+++ b/decisions.go
@@ -109,7 +109,7 @@
 type Refusal struct {
 	Attempt string
 	Reason  string
-	// ParseRetryAfter is when the backlog is expected to be short enough to accept the attempt.
+	// RetryAt is when the backlog is expected to be short enough to accept the attempt.
 	RetryAt time.Time
 	// Permanent is set if the attempt exceeds every engine, so that a retry can't succeed.
 	Permanent bool
--- a/internal/placement/twallocator/allocator.go
+++ b/internal/placement/twallocator/allocator.go
@@ -117,7 +117,7 @@
 type Refusal struct {
 	ID     string
 	Reason string
-	// ParseRetryAfter is when the call is expected to find an engine.
+	// RetryAt is when the call is expected to find an engine.
 	RetryAt time.Time
 	// Permanent is set when the prompt exceeds the memory of every engine, so that a retry can't succeed.
 	Permanent bool
--- a/problem.go
+++ b/problem.go
@@ -99,7 +99,7 @@
 // Outcome returns whether the request may have run.
 func (p *Problem) Outcome() Outcome { return p.outcome }
 
-// ParseRetryAfter returns when to retry; zero if a retry does not help.
+// RetryAt returns when to retry; zero if a retry does not help.
 func (p *Problem) RetryAt() time.Time { return p.retryAt }
 
 // Error returns the kind, the detail, the remedy and the cause.
