--- a/internal/admission/twauthenticator/authenticator.go
+++ b/internal/admission/twauthenticator/authenticator.go
@@ -93,14 +93,14 @@
 // KindUnauthorized if the key is missing, malformed or certainly invalid, KindNotReady if the plan is too old to
 // decide.
 func (a *Authenticator) CheckKey(
-	now twboottime.Moment, route turmericwall.Route, headers []string,
+	now twboottime.Instant, route turmericwall.Route, headers []string,
 ) (credential Credential, unknown bool, err error) {
 	key, wellFormed := twkeyindex.ParseBearer(headers)
 	account, found := turmericwall.ClientAccount{}, false
 	if wellFormed {
 		account, found = a.config.Routes.AccountOfKey(key)
 	}
-	admitted := found && a.config.Proof.Admits(now)
+	admitted := found && a.config.Proof.AdmitsListedKey(now)
 	switch {
 	case admitted:
 		return Credential{key: key, Account: account}, false, nil
@@ -109,7 +109,7 @@
 	case !wellFormed:
 		return Credential{}, false, turmericwall.NewProblem(turmericwall.KindUnauthorized, "the call carries no key",
 			"send one Authorization header of the form: Bearer KEY")
-	case !found && a.config.Proof.Denies(now):
+	case !found && a.config.Proof.DeniesUnlistedKey(now):
 		return Credential{}, true, turmericwall.NewProblem(turmericwall.KindUnauthorized,
 			"no client account has this key", "send the key of a client account")
 	default:
@@ -117,9 +117,9 @@
 	}
 }
 
-// Holds checks that the credential may still be used: the plan still contains its key, and the plan's proof is recent
-// enough. A key may be removed while its call waits for an engine. The error is a *Problem.
-func (a *Authenticator) Holds(c Credential) error {
+// CheckCredential checks that the credential may still be used: the plan still contains its key, and the plan's proof
+// is recent enough. A key may be removed while its call waits for an engine. The error is a *Problem.
+func (a *Authenticator) CheckCredential(c Credential) error {
 	if c.key == "" {
 		return nil
 	}
@@ -128,7 +128,7 @@
 		return turmericwall.NewProblem(turmericwall.KindUnauthorized, "the key was removed while the call waited",
 			"send another key of the client account")
 	}
-	if now := twboottime.Now(); !a.config.Proof.Admits(now) {
+	if now := twboottime.Now(); !a.config.Proof.AdmitsListedKey(now) {
 		return a.refuseUnproven(now)
 	}
 	return nil
@@ -136,7 +136,7 @@
 
 // refuseUnproven returns the refusal of a call whose key cannot be decided on, because the last proof that the plan is
 // in force is too old or missing.
-func (a *Authenticator) refuseUnproven(now twboottime.Moment) error {
+func (a *Authenticator) refuseUnproven(now twboottime.Instant) error {
 	detail := "this daemon can't tell whether the key is valid: its plan was never proved to be in force"
 	if age := a.config.Proof.AgeMillis(now); age >= 0 {
 		detail = fmt.Sprintf(
--- a/internal/admission/twauthenticator/authenticator_test.go
+++ b/internal/admission/twauthenticator/authenticator_test.go
@@ -23,7 +23,8 @@
 
 func newFixture() fixture {
 	f := fixture{
-		routes: twroutes.New(), proof: twproof.New(twproof.Config{MaxAge: 3 * time.Second, Current: 2 * time.Second}),
+		routes: twroutes.New(),
+		proof:  twproof.New(twproof.Config{MaxAge: 3 * time.Second, UnlistedKeyMaxAge: 2 * time.Second}),
 	}
 	f.Authenticator = twauthenticator.New(twauthenticator.Config{Routes: f.routes, Proof: f.proof})
 	f.apply(1, "k1", "k2")
@@ -44,7 +45,7 @@
 // Guards against calls that are admitted with a missing, malformed, unknown or possibly removed key, and against an
 // unknown key that is refused for good while a newer plan may contain it.
 func TestCheckKey(t *testing.T) {
-	const now = twboottime.Moment(10 * time.Second)
+	const now = twboottime.Instant(10 * time.Second)
 	cases := []struct {
 		name      string
 		proofAge  time.Duration
@@ -139,8 +140,9 @@
 	f.proof.Confirm(twboottime.Now())
 	got, err := f.Authenticate(context.Background(), turmericwall.Route{}, bearer("k2"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(f.Holds(got)).To(Succeed())
+	g.Expect(f.CheckCredential(got)).To(Succeed())
 	f.apply(2, "k1")
-	g.Expect(turmericwall.IsKind(f.Holds(got), turmericwall.KindUnauthorized)).To(BeTrue())
-	g.Expect(f.Holds(twauthenticator.Credential{})).To(Succeed(), "an anonymous call has no key that could be removed")
+	g.Expect(turmericwall.IsKind(f.CheckCredential(got), turmericwall.KindUnauthorized)).To(BeTrue())
+	g.Expect(f.CheckCredential(twauthenticator.Credential{})).To(
+		Succeed(), "an anonymous call has no key that could be removed")
 }
--- a/internal/admission/twquota/alone.go
+++ b/internal/admission/twquota/alone.go
@@ -2,19 +2,19 @@
 
 import "github.com/turmericwall/turmericwall"
 
-// ChargeAlone charges a call that the leader should have charged but did not answer. The leader may have terminated
+// ChargeLocally charges a call that the leader should have charged but did not answer. The leader may have terminated
 // without being missed yet, and its last levels do not include what other daemons charge at the same time. The error is
 // a *Problem with a retry time.
-func (m *Meter) ChargeAlone(account string, units float64) error {
+func (m *Meter) ChargeLocally(account string, units float64) error {
 	found, ok := m.config.Account(account)
-	if !ok || !found.Quota.Limits() || units <= 0 {
+	if !ok || !found.Quota.IsLimited() || units <= 0 {
 		return nil
 	}
 	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateState(s)
-	if s.leading {
+	if s.isLeader {
 		return m.chargeClusterBucket(s, found, units)
 	}
 	return m.chargeLocalShare(s, found, units)
@@ -49,7 +49,7 @@
 	if b.level < min(units, capacity) && s.daemons == 0 {
 		return turmericwall.NewProblem(turmericwall.KindNotReady,
 			"this daemon doesn't know yet what is left of the quota of client account "+account.Name,
-			"retry at the time in Retry-After").WithRetryAt(s.now.Add(unknownCountRetryDelay))
+			"retry after the delay in Retry-After").WithRetryAt(s.now.Add(unknownCountRetryDelay))
 	}
 	if b.level < min(units, capacity) {
 		return newOverLimit(account, units, b.level, "of this daemon's part, without a leader",
--- a/internal/admission/twquota/meter.go
+++ b/internal/admission/twquota/meter.go
@@ -48,13 +48,14 @@
 type Config struct {
 	// Account returns an account of the plan in force.
 	Account func(name string) (turmericwall.ClientAccount, bool)
-	// Leading reports whether this daemon is the leader, Led whether it receives the heartbeats of another one.
-	Leading func() bool
-	Led     func() bool
-	// Daemons returns the number of live daemons, 0 while it is unknown. Absent returns how many more answered the
-	// leader recently.
-	Daemons func() int
-	Absent  func() int
+	// IsLeader reports whether this daemon is the leader, FollowsLiveLeader whether it receives the heartbeats of
+	// another one.
+	IsLeader          func() bool
+	FollowsLiveLeader func() bool
+	// Daemons returns the number of live daemons, 0 while it is unknown. UnresponsiveDaemons returns how many more
+	// answered the leader recently.
+	Daemons             func() int
+	UnresponsiveDaemons func() int
 	// WindowSeconds, Overage and Slack bound the use over a quota of all daemons together. In any window of
 	// WindowSeconds an account may use what the quota allows, the fraction Overage of that in addition, and Slack
 	// units.
@@ -94,11 +95,11 @@
 // clusterState is this daemon's role and the size of the cluster. It is read without the meter's lock, since the
 // cluster calls the meter while it holds its own.
 type clusterState struct {
-	now     time.Time
-	leading bool
-	led     bool
-	daemons int
-	absent  int
+	now               time.Time
+	isLeader          bool
+	followsLiveLeader bool
+	daemons           int
+	unresponsive      int
 	// countedAt is when the daemons were counted.
 	countedAt time.Time
 }
@@ -129,7 +130,7 @@
 // Charge charges units to the account's quota. The error is a *Problem with a retry time.
 func (m *Meter) Charge(account string, units float64) error {
 	found, ok := m.config.Account(account)
-	if !ok || !found.Quota.Limits() || units <= 0 {
+	if !ok || !found.Quota.IsLimited() || units <= 0 {
 		return nil
 	}
 	s := m.readState()
@@ -137,9 +138,9 @@
 	defer m.mu.Unlock()
 	m.updateState(s)
 	switch {
-	case s.leading:
+	case s.isLeader:
 		return m.chargeClusterBucket(s, found, units)
-	case s.led && s.now.Sub(m.levelsAt) < levelsMaxAge:
+	case s.followsLiveLeader && s.now.Sub(m.levelsAt) < levelsMaxAge:
 		return m.chargeLevel(s.now, found, units)
 	default:
 		return m.chargeLocalShare(s, found, units)
@@ -149,14 +150,14 @@
 // Refund returns units that were charged for a call that did not run.
 func (m *Meter) Refund(account string, units float64) {
 	found, ok := m.config.Account(account)
-	if !ok || !found.Quota.Limits() || units <= 0 {
+	if !ok || !found.Quota.IsLimited() || units <= 0 {
 		return
 	}
 	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateState(s)
-	if s.leading {
+	if s.isLeader {
 		m.clusterBucket(s, found).level += units
 		return
 	}
@@ -169,17 +170,19 @@
 // readState reads this daemon's role and the size of the cluster. The size is cached for daemonCountMaxAge, since
 // counting hundreds of members for each call is costly.
 func (m *Meter) readState() clusterState {
-	s := clusterState{now: m.config.Now(), leading: m.config.Leading(), led: m.config.Led()}
+	s := clusterState{
+		now: m.config.Now(), isLeader: m.config.IsLeader(), followsLiveLeader: m.config.FollowsLiveLeader(),
+	}
 	m.mu.Lock()
 	last := m.lastState
 	m.mu.Unlock()
-	if s.leading == last.leading && s.now.Sub(last.countedAt) < daemonCountMaxAge {
-		s.daemons, s.absent, s.countedAt = last.daemons, last.absent, last.countedAt
+	if s.isLeader == last.isLeader && s.now.Sub(last.countedAt) < daemonCountMaxAge {
+		s.daemons, s.unresponsive, s.countedAt = last.daemons, last.unresponsive, last.countedAt
 		return s
 	}
 	s.daemons, s.countedAt = m.config.Daemons(), s.now
-	if s.leading {
-		s.absent = m.config.Absent()
+	if s.isLeader {
+		s.unresponsive = m.config.UnresponsiveDaemons()
 	}
 	return s
 }
@@ -187,7 +190,7 @@
 // updateState records the state, and discards buckets and reports of an earlier term if this daemon became the leader;
 // the lock is held.
 func (m *Meter) updateState(s clusterState) {
-	if s.leading && !m.lastState.leading {
+	if s.isLeader && !m.lastState.isLeader {
 		m.clusterBuckets = make(map[string]*bucket)
 		m.reported = make(map[string]map[string]int64)
 	}
@@ -245,7 +248,7 @@
 // liveFraction returns the fraction of the daemons that answer the leader.
 func (s clusterState) liveFraction() float64 {
 	daemons := max(s.daemons, 1)
-	return float64(daemons) / float64(daemons+s.absent)
+	return float64(daemons) / float64(daemons+s.unresponsive)
 }
 
 // chargeLevel charges a call against the account's level in the leader's last heartbeat; the lock is held.
@@ -278,11 +281,12 @@
 func newOverLimit(account turmericwall.ClientAccount, units, remaining float64, scope string, retryAt time.Time) error {
 	return turmericwall.NewProblem(turmericwall.KindOverLimit,
 		fmt.Sprintf("the client account %s is over its quota: the call counts %.0f, and %.0f are left %s",
-			account.Name, units, remaining, scope), "retry at the time in Retry-After").WithRetryAt(retryAt)
+			account.Name, units, remaining, scope), "retry after the delay in Retry-After").WithRetryAt(retryAt)
 }
 
-// Uses returns this daemon's use of the accounts with recent calls. It goes into the reply to the leader's heartbeat.
-func (m *Meter) Uses() []turmericwall.AccountUse {
+// LocalUses returns this daemon's use of the accounts with recent calls. It goes into the reply to the leader's
+// heartbeat.
+func (m *Meter) LocalUses() []turmericwall.AccountUse {
 	now := m.config.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -290,23 +294,23 @@
 	for name, u := range m.used {
 		if now.Sub(u.lastUsedAt) < reportRetention {
 			list = append(list, turmericwall.AccountUse{
-				Account: name, Units: int64(u.units), Alone: int64(u.units - u.countedBefore),
+				Account: name, Units: int64(u.units), UncountedUnits: int64(u.units - u.countedBefore),
 			})
 		}
 	}
 	return list
 }
 
-// Report charges the use that another daemon reported, as the leader. uptime is the time since that daemon's start.
+// RecordUses charges the use that another daemon reported, as the leader. uptime is the time since that daemon's start.
 //
 // Uses are totals since the daemon's start, so that a lost or repeated report does no harm. In the first report of a
 // daemon that is not new, the previous leader has counted everything but what the daemon used without a leader.
-func (m *Meter) Report(incarnation string, uptime time.Duration, uses []turmericwall.AccountUse) {
+func (m *Meter) RecordUses(incarnation string, uptime time.Duration, uses []turmericwall.AccountUse) {
 	s := m.readState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateState(s)
-	if !s.leading {
+	if !s.isLeader {
 		return
 	}
 	previous, known := m.reported[incarnation]
@@ -316,20 +320,20 @@
 	}
 	for _, u := range uses {
 		account, ok := m.config.Account(u.Account)
-		if !ok || !account.Quota.Limits() {
+		if !ok || !account.Quota.IsLimited() {
 			continue
 		}
 		recent := u.Units - previous[u.Account]
 		if !known && uptime >= maxNewDaemonAge {
-			recent = u.Alone
+			recent = u.UncountedUnits
 		}
 		m.clusterBucket(s, account).recordReport(s.now, float64(recent))
 		previous[u.Account] = u.Units
 	}
 }
 
-// Gone discards the reports of a daemon that no longer answers.
-func (m *Meter) Gone(incarnation string) {
+// RemoveDaemon discards the reports of a daemon that no longer answers.
+func (m *Meter) RemoveDaemon(incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.reported, incarnation)
@@ -345,7 +349,7 @@
 	var list []turmericwall.AccountLevel
 	for name := range m.clusterBuckets {
 		account, ok := m.config.Account(name)
-		if !ok || !account.Quota.Limits() {
+		if !ok || !account.Quota.IsLimited() {
 			delete(m.clusterBuckets, name)
 			continue
 		}
@@ -357,9 +361,9 @@
 	return list
 }
 
-// TakeLevels applies the levels in a heartbeat of the leader with the given incarnation. It must be called before Uses
-// is called for the reply to that heartbeat.
-func (m *Meter) TakeLevels(leader string, levels []turmericwall.AccountLevel) {
+// ApplyLevels applies the levels in a heartbeat of the leader with the given incarnation. It must be called before
+// LocalUses is called for the reply to that heartbeat.
+func (m *Meter) ApplyLevels(leader string, levels []turmericwall.AccountLevel) {
 	now := m.config.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/admission/twquota/meter_test.go
+++ b/internal/admission/twquota/meter_test.go
@@ -81,24 +81,24 @@
 		Account: func(name string) (turmericwall.ClientAccount, bool) {
 			return turmericwall.ClientAccount{Name: name, Quota: f.quota}, name == "a" || name == "b"
 		},
-		Leading: func() bool { return f.leader == i && !f.leaderDead() },
-		Led:     func() bool { return f.hasLeader(i) },
+		IsLeader:          func() bool { return f.leader == i && !f.leaderDead() },
+		FollowsLiveLeader: func() bool { return f.hasLeader(i) },
 		Daemons: func() int {
 			if f.daemonsUnknown {
 				return 0
 			}
-			return len(f.meters) - f.absent(i)
+			return len(f.meters) - f.countUnresponsive(i)
 		},
-		Absent: func() int { return f.absent(i) },
-		Now:    func() time.Time { return f.now.Add(-f.suspended[i]) }, Restarted: restarted,
+		UnresponsiveDaemons: func() int { return f.countUnresponsive(i) },
+		Now:                 func() time.Time { return f.now.Add(-f.suspended[i]) }, Restarted: restarted,
 		Random:        rand.New(rand.NewPCG(uint64(i), 3)).Float64,
 		WindowSeconds: windowSeconds, Overage: f.overage, Slack: f.slack,
 	})
 }
 
-// absent returns the number of partitioned daemons if daemon i is the leader. The other daemons keep the last number of
-// daemons that they received.
-func (f *fleet) absent(i int) int {
+// countUnresponsive returns the number of partitioned daemons if daemon i is the leader. The other daemons keep the
+// last number of daemons that they received.
+func (f *fleet) countUnresponsive(i int) int {
 	if i != f.leader {
 		return 0
 	}
@@ -113,8 +113,8 @@
 	levels := f.meters[f.leader].Levels()
 	for i, m := range f.meters {
 		if i != f.leader && !f.partitioned[i] {
-			m.TakeLevels(string(rune('A'+f.leader)), levels)
-			f.meters[f.leader].Report(fmt.Sprint(i, f.startedAt[i]), f.uptime(i), m.Uses())
+			m.ApplyLevels(string(rune('A'+f.leader)), levels)
+			f.meters[f.leader].RecordUses(fmt.Sprint(i, f.startedAt[i]), f.uptime(i), m.LocalUses())
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	return admitted
 }
 
-var quota = turmericwall.Quota{PerSecond: 1000, Burst: 2000, CountsTokens: true, PlainTokens: 200}
+var quota = turmericwall.Quota{PerSecond: 1000, Burst: 2000, CountsTokens: true, DefaultTokens: 200}
 
 // Guards against a leader that admits more than the burst and the rate allow, or charges one account for another.
 func TestLeaderAdmitsExactlyTheQuota(t *testing.T) {
@@ -303,8 +303,8 @@
 	f.leaderDiedAt = f.now
 	f.now = f.now.Add(300 * time.Millisecond)
 	for _, m := range f.meters[1:] {
-		g.Expect(m.ChargeAlone("a", 200)).NotTo(Succeed(), "the share is a quarter of 200 left and of 300 refilled")
-		g.Expect(m.ChargeAlone("b", 200)).To(Succeed(), "far below its quota")
+		g.Expect(m.ChargeLocally("a", 200)).NotTo(Succeed(), "the share is a quarter of 200 left and of 300 refilled")
+		g.Expect(m.ChargeLocally("b", 200)).To(Succeed(), "far below its quota")
 	}
 	f.now = f.now.Add(300 * time.Millisecond)
 	g.Expect(chargeCalls(f.meters[1], "a", 200, 5)).To(Equal(1), "the leader's levels have expired")
--- a/internal/admission/twthrottle/throttle.go
+++ b/internal/admission/twthrottle/throttle.go
@@ -61,10 +61,10 @@
 	// Rank returns this daemon's rank among all daemons in the last heartbeat, their number, which is 0 while it is
 	// unknown, and the time at which the heartbeat was received.
 	Rank func() (rank, daemons int, at time.Time)
-	// Daemons returns the number of live daemons. Absent returns how many more answered this daemon recently, while it
-	// is the leader.
-	Daemons func() int
-	Absent  func() int
+	// Daemons returns the number of live daemons. UnresponsiveDaemons returns how many more answered this daemon
+	// recently, while it is the leader.
+	Daemons             func() int
+	UnresponsiveDaemons func() int
 	// Now returns the time of the monotonic clock.
 	Now func() time.Time
 }
@@ -85,8 +85,8 @@
 
 // clusterSize is the number of live daemons, and of those that are not live but answered the leader recently.
 type clusterSize struct {
-	daemons, absent int
-	validUntil      time.Time
+	daemons, unresponsive int
+	validUntil            time.Time
 }
 
 // allowance is what this daemon may send to one upstream.
@@ -111,10 +111,10 @@
 
 // Admit admits one send to the upstream. The error is a *Problem with a retry time.
 func (t *Throttle) Admit(ctx context.Context, upstream turmericwall.UpstreamKey) error {
-	if until := t.ClosedUntil(upstream); !until.IsZero() {
+	if until := t.BackoffUntil(upstream); !until.IsZero() {
 		return turmericwall.NewProblem(turmericwall.KindOverloaded,
 			fmt.Sprintf("the upstream %s wants no call from this daemon for now", upstream.ID),
-			"retry at the time in Retry-After").WithRetryAt(until)
+			"retry after the delay in Retry-After").WithRetryAt(until)
 	}
 	stated, limited := t.config.Rates.Statement(upstream)
 	if !limited {
@@ -125,7 +125,7 @@
 	if count == 0 {
 		return err
 	}
-	request := turmericwall.AdmitAsk{Rate: stated, Count: count}
+	request := turmericwall.AdmitRequest{Rate: stated, Count: count}
 	for _, candidate := range t.coordinatorCandidates() {
 		reply, err := t.requestGrant(ctx, candidate, request)
 		if err != nil || reply.Declined {
@@ -136,9 +136,9 @@
 	return t.useSlot(upstream, rate)
 }
 
-// ClosedUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
-func (t *Throttle) ClosedUntil(upstream turmericwall.UpstreamKey) time.Time {
-	return t.config.Backoffs.Until(t.config.Now(), upstream)
+// BackoffUntil returns the end of the back-off that the upstream asked this daemon for; zero if there is none.
+func (t *Throttle) BackoffUntil(upstream turmericwall.UpstreamKey) time.Time {
+	return t.config.Backoffs.BackoffUntil(t.config.Now(), upstream)
 }
 
 // useGrantedSend uses a send that was granted before. If there is none, count is the number of sends to request; it is
@@ -190,7 +190,7 @@
 
 // requestGrant requests sends from one daemon, which may be this one.
 func (t *Throttle) requestGrant(
-	ctx context.Context, candidate turmericwall.Member, request turmericwall.AdmitAsk,
+	ctx context.Context, candidate turmericwall.Member, request turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
 	if candidate == t.config.Self {
 		return t.Grant(request), nil
@@ -228,7 +228,7 @@
 		a.grantedUntil = now.Add(grantValidity)
 		return nil
 	}
-	a.nextRequestAt = earlier(now.Add(time.Duration(reply.NextMillis)*time.Millisecond), now.Add(maxRetryDelay))
+	a.nextRequestAt = earlier(now.Add(time.Duration(reply.NextRequestMillis)*time.Millisecond), now.Add(maxRetryDelay))
 	return a.refuse(now, upstream, now.Add(time.Duration(reply.RetryMillis)*time.Millisecond))
 }
 
@@ -256,11 +256,11 @@
 	a.retryAt = earlier(at, now.Add(maxRetryDelay))
 	return turmericwall.NewProblem(turmericwall.KindOverloaded,
 		fmt.Sprintf("the upstream %s takes no more calls a second", upstream.ID),
-		"retry at the time in Retry-After").WithRetryAt(a.retryAt)
+		"retry after the delay in Retry-After").WithRetryAt(a.retryAt)
 }
 
-// Return returns an admitted send that was not made, so that this daemon may use it for another call.
-func (t *Throttle) Return(upstream turmericwall.UpstreamKey) {
+// ReturnSend returns an admitted send that was not made, so that this daemon may use it for another call.
+func (t *Throttle) ReturnSend(upstream turmericwall.UpstreamKey) {
 	if _, limited := t.config.Rates.Rate(upstream); !limited {
 		return
 	}
@@ -276,8 +276,8 @@
 }
 
 // Grant answers a daemon's request for sends. The reply is declined if this daemon is not the rate coordinator.
-func (t *Throttle) Grant(request turmericwall.AdmitAsk) turmericwall.AdmitReply {
-	t.config.Rates.TakeList([]turmericwall.UpstreamRate{request.Rate})
+func (t *Throttle) Grant(request turmericwall.AdmitRequest) turmericwall.AdmitReply {
+	t.config.Rates.RecordPeerRates([]turmericwall.UpstreamRate{request.Rate})
 	if !t.updateCoordinating() {
 		return turmericwall.AdmitReply{Declined: true}
 	}
@@ -297,7 +297,8 @@
 	}
 	next := later(b.nextCallAt(now, rate*live), now.Add(time.Duration(cluster.daemons)*requestPausePerDaemon))
 	return turmericwall.AdmitReply{
-		NextMillis: ceilMillis(next.Sub(now)), RetryMillis: ceilMillis(b.assignRetryTime(now, rate*live).Sub(now)),
+		NextRequestMillis: ceilMillis(next.Sub(now)),
+		RetryMillis:       ceilMillis(b.assignRetryTime(now, rate*live).Sub(now)),
 	}
 }
 
@@ -327,7 +328,7 @@
 	}
 	next := clusterSize{daemons: t.config.Daemons(), validUntil: now.Add(daemonCountMaxAge)}
 	if _, leading, _ := t.config.Leader(); leading {
-		next.absent = t.config.Absent()
+		next.unresponsive = t.config.UnresponsiveDaemons()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -339,11 +340,11 @@
 // send slots.
 func (s clusterSize) liveFraction() float64 {
 	daemons := max(s.daemons, 1)
-	return float64(daemons) / float64(daemons+s.absent)
+	return float64(daemons) / float64(daemons+s.unresponsive)
 }
 
-// Open reports whether a send to the upstream may be admitted now.
-func (t *Throttle) Open(upstream turmericwall.UpstreamKey) bool {
+// CanAdmitSend reports whether a send to the upstream may be admitted now.
+func (t *Throttle) CanAdmitSend(upstream turmericwall.UpstreamKey) bool {
 	rate, limited := t.config.Rates.Rate(upstream)
 	if !limited {
 		return true
@@ -361,9 +362,9 @@
 	return !ok || !now.Before(a.nextRequestAt)
 }
 
-// Forget discards the state of upstreams that no longer state a rate, and expired back-offs of peers. It must be called
-// several times per second, because it also detects that this daemon is no longer the rate coordinator.
-func (t *Throttle) Forget() {
+// DiscardExpired discards the state of upstreams that no longer state a rate, and expired back-offs of peers. It must
+// be called several times per second, because it also detects that this daemon is no longer the rate coordinator.
+func (t *Throttle) DiscardExpired() {
 	t.updateCoordinating()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/admission/twthrottle/throttle_test.go
+++ b/internal/admission/twthrottle/throttle_test.go
@@ -25,11 +25,13 @@
 type fakePeers struct {
 	turmericwall.PeerClient
 	reply    turmericwall.AdmitReply
-	requests []turmericwall.AdmitAsk
+	requests []turmericwall.AdmitRequest
 }
 
-func (p *fakePeers) Admit(ctx context.Context, _ string, ask turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
-	p.requests = append(p.requests, ask)
+func (p *fakePeers) Admit(
+	ctx context.Context, _ string, request turmericwall.AdmitRequest,
+) (turmericwall.AdmitReply, error) {
+	p.requests = append(p.requests, request)
 	return p.reply, ctx.Err()
 }
 
@@ -37,13 +39,15 @@
 func newFollower(now *time.Time, p *fakePeers, backoffs *twbackoff.Backoffs) *twthrottle.Throttle {
 	clock := func() time.Time { return *now }
 	rates := twrates.New(twrates.Config{Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: clock})
-	rates.Take(key, turmericwall.UpstreamStatement{SentAt: *now, ReceivedAt: *now, PerSecond: 2, RateStated: true})
+	rates.RecordAnswer(
+		key, turmericwall.UpstreamStatement{SentAt: *now, ReceivedAt: *now, PerSecond: 2, RateStated: true},
+	)
 	return twthrottle.New(twthrottle.Config{
 		Rates: rates, Backoffs: backoffs, Peers: p, Self: turmericwall.Member{Name: "self", Address: "s:1"}, Now: clock,
 		Leader:   func() (turmericwall.Member, bool, bool) { return leader, false, true },
 		Standbys: func() []turmericwall.Member { return nil }, StandbyRank: func() int { return -1 },
 		Rank: func() (int, int, time.Time) { return 0, 6, *now }, Daemons: func() int { return 6 },
-		Absent: func() int { return 0 },
+		UnresponsiveDaemons: func() int { return 0 },
 	})
 }
 
@@ -63,7 +67,7 @@
 func TestNoRequestBeforeTheTimeThatTheLeaderGave(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-	p := &fakePeers{reply: turmericwall.AdmitReply{NextMillis: 500, RetryMillis: 900}}
+	p := &fakePeers{reply: turmericwall.AdmitReply{NextRequestMillis: 500, RetryMillis: 900}}
 	throttle := newFollower(&now, p, twbackoff.New())
 	for range 5 {
 		var problem *turmericwall.Problem
@@ -72,14 +76,14 @@
 		g.Expect(problem.RetryAt().Sub(now)).To(BeNumerically("<=", 5*time.Second))
 	}
 	g.Expect(p.requests).To(HaveLen(1))
-	g.Expect(throttle.Open(key)).To(BeFalse())
+	g.Expect(throttle.CanAdmitSend(key)).To(BeFalse())
 	now = now.Add(500 * time.Millisecond)
 	p.reply = turmericwall.AdmitReply{Granted: 2}
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed())
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed())
 	g.Expect(p.requests).To(HaveLen(2), "the second send was granted with the first one")
 	now = now.Add(time.Second)
-	throttle.Return(key)
+	throttle.ReturnSend(key)
 	g.Expect(throttle.Admit(context.Background(), key)).To(Succeed(), "uses the returned send")
 	g.Expect(p.requests).To(HaveLen(2))
 }
@@ -90,7 +94,7 @@
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	p, backoffs := &fakePeers{}, twbackoff.New()
 	throttle := newFollower(&now, p, backoffs)
-	backoffs.Take(now, key, now.Add(3*time.Second))
+	backoffs.Record(now, key, now.Add(3*time.Second))
 	var problem *turmericwall.Problem
 	g.Expect(errors.As(throttle.Admit(context.Background(), key), &problem)).To(BeTrue())
 	g.Expect(problem.RetryAt()).To(Equal(now.Add(3 * time.Second)))
--- a/internal/delivery/twdelivery/delivery.go
+++ b/internal/delivery/twdelivery/delivery.go
@@ -62,8 +62,8 @@
 	return r.deliver(ctx)
 }
 
-// Wanted returns those of the attempts that are still active on this daemon.
-func (d *Delivery) Wanted(attempts []string) []string {
+// FilterWanted returns those of the attempts that are still active on this daemon.
+func (d *Delivery) FilterWanted(attempts []string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var wanted []string
@@ -75,8 +75,8 @@
 	return wanted
 }
 
-// Live returns the number of active attempts.
-func (d *Delivery) Live() int {
+// ActiveAttempts returns the number of active attempts.
+func (d *Delivery) ActiveAttempts() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.activeAttempts)
--- a/internal/delivery/twdelivery/run.go
+++ b/internal/delivery/twdelivery/run.go
@@ -7,7 +7,7 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/delivery/twassembly"
-	"github.com/turmericwall/turmericwall/internal/placement/twblocks"
+	"github.com/turmericwall/turmericwall/internal/placement/twblockhash"
 )
 
 const (
@@ -95,7 +95,7 @@
 	}
 	log.Record(turmericwall.EventPlacementGranted).Str("request", r.request.ID).Str("attempt", name).
 		Str("prefill", grant.Prefill.Name).Str("decode", grant.Decode.Name).Int("cachedTokens", int64(grant.CachedTokens)).
-		Int("considered", int64(grant.Considered)).Str("reason", grant.Reason).Send()
+		Int("considered", int64(grant.EnginesConsidered)).Str("reason", grant.Reason).Send()
 	return grant, nil
 }
 
@@ -105,13 +105,13 @@
 		Attempt: name, Service: r.request.Service, Model: r.request.Model, Account: r.request.Account,
 		Work: r.request.Work.Name, Urgent: r.request.Work.Urgent, Worth: r.request.Work.Worth,
 		TokenGapMillis: float64(r.request.Work.TokenGapMillis),
-		PromptTokens:   twblocks.Tokens(r.promptWithAnswer()),
+		PromptTokens:   twblockhash.EstimateTokens(r.promptWithAnswer()),
 		MaxTokens:      r.remainingTokens(),
-		Blocks:         twblocks.Hashes(r.request.Prompt),
+		BlockHashes:    twblockhash.Hashes(r.request.Prompt),
 		Avoid:          r.avoidedEngines,
 	}
 	if now.Before(r.exportDeadline) {
-		a.Prefilled = r.exportEngine.Name
+		a.ExportEngine = r.exportEngine.Name
 	}
 	switch {
 	case r.attempts > 0 && r.request.Work.Urgent:
@@ -243,7 +243,7 @@
 }
 
 func (r *run) usage() turmericwall.Usage {
-	prompt := twblocks.Tokens(r.request.Prompt)
+	prompt := twblockhash.EstimateTokens(r.request.Prompt)
 	return turmericwall.Usage{
 		PromptTokens:     prompt,
 		CompletionTokens: r.assembly.DeliveredTokens(),
--- a/internal/delivery/twrelay/announced_test.go
+++ b/internal/delivery/twrelay/announced_test.go
@@ -12,16 +12,18 @@
 
 // announceLeaving marks an upstream as leaving, as the adapter does when an answer announces it.
 func (s *fixture) announceLeaving(id string) {
-	s.view.Announced(time.Now(), turmericwall.UpstreamKey{ID: id})
+	s.view.RecordAnnouncement(time.Now(), turmericwall.UpstreamKey{ID: id})
 }
 
 // Guards against sends of any kind to an upstream that announced in an answer that it leaves.
-func TestNothingIsSentToAnUpstreamThatAnnouncedItsEnd(t *testing.T) {
+func TestNothingIsSentToAnUpstreamThatAnnouncedLeaving(t *testing.T) {
 	t.Run("first sends and retries", func(t *testing.T) {
 		for _, kind := range plainKinds {
 			g := NewWithT(t)
 			s := newFixture(kind)
-			s.upstreams.send = func(_ context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+			s.upstreams.send = func(
+				_ context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
+			) (*turmericwall.Answer, error) {
 				s.announceLeaving("b")
 				if to.ID == "a" {
 					return nil, notRunError()
@@ -56,7 +58,9 @@
 		g := NewWithT(t)
 		s := newModelFixture(splitPlacement("d1"), turmericwall.Placement{Decode: engine("d2", turmericwall.RoleDecode)})
 		s.announceLeaving("d2")
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			s.announceLeaving("d1")
 			a := answer(200, "")
 			a.Length, a.Body = -1, &slowBody{parts: []string{events(1, 2), events(3, 4)}, pause: 150 * time.Millisecond}
--- a/internal/delivery/twrelay/failing_test.go
+++ b/internal/delivery/twrelay/failing_test.go
@@ -15,25 +15,29 @@
 
 // A decode engine answers 500 to each call while its health check passes. If the placer does not learn of it, the
 // engine looks idle and gets ever more calls.
-func TestAnErrorOfADecodeEngineIsToldToThePlacer(t *testing.T) {
+func TestAnErrorOfADecodeEngineIsReportedToThePlacer(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		body := io.NopCloser(strings.NewReader("broken"))
 		return &turmericwall.Answer{Status: 500, Length: 6, Header: http.Header{}, Body: body}, nil
 	}
 	w, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Code).To(Equal(500), "the engine's answer is passed on unchanged")
-	g.Expect(s.placer.ends[len(s.placer.ends)-1].Failed).To(Equal("d1"))
+	g.Expect(s.placer.updates[len(s.placer.updates)-1].FailedEngine).To(Equal("d1"))
 }
 
 // A decode engine accepts calls and never answers. If the placer does not learn of it, each further call waits there
 // until its caller leaves.
-func TestADecodeEngineThatHangsIsToldToThePlacer(t *testing.T) {
+func TestADecodeEngineThatHangsIsReportedToThePlacer(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		<-ctx.Done()
 		return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
 	}
@@ -42,14 +46,14 @@
 	_, _ = s.serve(ctx, "/m/x")
 	s.placer.mu.Lock()
 	defer s.placer.mu.Unlock()
-	report := turmericwall.PlacementEnd{ID: "id1/0", Service: "engines", Running: true, Failed: "d1"}
-	g.Expect(s.placer.ends).To(ContainElement(report))
+	report := turmericwall.PlacementUpdate{ID: "id1/0", Service: "engines", Running: true, FailedEngine: "d1"}
+	g.Expect(s.placer.updates).To(ContainElement(report))
 	g.Expect(s.upstreams.sentTo()).To(Equal([]string{"d1"}), "the call may run there and must not be sent again")
 }
 
 // A prefill engine accepts a prompt and never finishes it. Without a time-out the call waits there until its caller
 // leaves.
-func TestAPromptThatIsNotReadGoesToAnotherEngine(t *testing.T) {
+func TestAHangingPrefillIsPlacedOnAnotherEngine(t *testing.T) {
 	g := NewWithT(t)
 	first, second := splitPlacement("d1"), splitPlacement("d1")
 	first.Prefill.ID = "hangs"
@@ -59,14 +63,16 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Code).To(Equal(200))
 	g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{"hangs"}))
-	g.Expect(s.placer.ends[0].Failed).To(Equal("hangs"))
+	g.Expect(s.placer.updates[0].FailedEngine).To(Equal("hangs"))
 }
 
 // Exports expire before they are imported. If their prefill engines counted as failed, no prefill engine would be left.
 func TestAnEngineWhoseExportExpiredIsOnlySuspected(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
-	s.upstreams.send = func(_ context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		_ context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if to.ID == "d1" {
 			return nil, &turmericwall.SendError{Sent: true, NotRun: true, Err: errConnectionReset}
 		}
@@ -74,8 +80,8 @@
 	}
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
-	for _, end := range s.placer.ends {
-		g.Expect(end.Failed).To(BeEmpty())
+	for _, update := range s.placer.updates {
+		g.Expect(update.FailedEngine).To(BeEmpty())
 	}
-	g.Expect(s.placer.ends).To(ContainElement(HaveField("Doubted", "p1")))
+	g.Expect(s.placer.updates).To(ContainElement(HaveField("SuspectedEngine", "p1")))
 }
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -25,13 +25,15 @@
 )
 
 // sendFunc simulates one upstream's answer to one send.
-type sendFunc func(ctx context.Context, to turmericwall.Upstream, call turmericwall.Outgoing) (*turmericwall.Answer, error)
+type sendFunc func(
+	ctx context.Context, to turmericwall.Upstream, call turmericwall.OutgoingCall,
+) (*turmericwall.Answer, error)
 
 // fakeUpstreams simulates all upstreams and counts what reaches them.
 type fakeUpstreams struct {
 	mu      sync.Mutex
 	send    sendFunc
-	sends   []turmericwall.Outgoing
+	sends   []turmericwall.OutgoingCall
 	targets []string
 	prefill func(n int) (turmericwall.EngineExport, error)
 	// hangingPrefills are engines that never finish a prefill.
@@ -46,7 +48,7 @@
 }
 
 func (u *fakeUpstreams) Send(
-	ctx context.Context, to turmericwall.Upstream, call turmericwall.Outgoing,
+	ctx context.Context, to turmericwall.Upstream, call turmericwall.OutgoingCall,
 ) (*turmericwall.Answer, error) {
 	u.mu.Lock()
 	u.sends = append(u.sends, call)
@@ -56,7 +58,7 @@
 }
 
 func (u *fakeUpstreams) Prefill(
-	ctx context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing,
+	ctx context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
 ) (turmericwall.EngineExport, error) {
 	if u.hangingPrefills[to.ID] {
 		<-ctx.Done()
@@ -108,11 +110,11 @@
 	return u.move(from, to)
 }
 
-func (u *fakeUpstreams) Kept(context.Context, turmericwall.Upstream) ([]turmericwall.KeptPrompt, error) {
+func (u *fakeUpstreams) CachedPrompts(context.Context, turmericwall.Upstream) ([]turmericwall.CachedPrompt, error) {
 	return nil, nil
 }
 
-func (u *fakeUpstreams) Load(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
+func (u *fakeUpstreams) FetchLoad(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
 	return turmericwall.EngineLoad{}, nil
 }
 
@@ -130,12 +132,12 @@
 type fakePlacer struct {
 	mu         sync.Mutex
 	placements []turmericwall.Placement
-	requests   []turmericwall.PlaceAsk
-	ends       []turmericwall.PlacementEnd
+	requests   []turmericwall.PlaceRequest
+	updates    []turmericwall.PlacementUpdate
 	refusal    error
 }
 
-func (p *fakePlacer) Place(_ context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (p *fakePlacer) Place(_ context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests = append(p.requests, request)
@@ -144,14 +146,14 @@
 	}
 	placement := p.placements[len(p.requests)-1]
 	placement.ID = request.ID
-	placement.ReadDeadline = time.Now().Add(100 * time.Millisecond)
+	placement.PrefillEndsAt = time.Now().Add(100 * time.Millisecond)
 	return placement, nil
 }
 
-func (p *fakePlacer) Finish(end turmericwall.PlacementEnd) {
+func (p *fakePlacer) ApplyUpdate(update turmericwall.PlacementUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ends = append(p.ends, end)
+	p.updates = append(p.updates, update)
 }
 
 // fakeThrottle simulates the rates of upstreams: those in closedUntil accept no call.
@@ -174,7 +176,7 @@
 	return nil
 }
 
-func (t *fakeThrottle) ClosedUntil(upstream turmericwall.UpstreamKey) time.Time {
+func (t *fakeThrottle) BackoffUntil(upstream turmericwall.UpstreamKey) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.backoffUntil[upstream.ID]
@@ -187,7 +189,7 @@
 	t.closedUntil[id] = t.backoffUntil[id]
 }
 
-func (t *fakeThrottle) Return(upstream turmericwall.UpstreamKey) {
+func (t *fakeThrottle) ReturnSend(upstream turmericwall.UpstreamKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.admitted[upstream.ID]--
@@ -220,7 +222,7 @@
 		},
 		view: twupstreams.New(twupstreams.Config{}), slack: 50,
 	}
-	s.proof = twproof.New(twproof.Config{MaxAge: time.Minute, Current: time.Minute})
+	s.proof = twproof.New(twproof.Config{MaxAge: time.Minute, UnlistedKeyMaxAge: time.Minute})
 	s.proof.Confirm(twboottime.Now())
 	s.log = &bytes.Buffer{}
 	routes := twroutes.New()
@@ -234,7 +236,7 @@
 			},
 			{
 				Name: "model", Host: "h", Prefix: "/m/", Kind: turmericwall.CallStream, MaxUpstreams: 1, TimeoutMillis: 2000,
-				TargetMillis: 1000, Model: true, EventGapMillis: 300,
+				TargetMillis: 1000, ForModelEngine: true, EventGapMillis: 300,
 				Services: []turmericwall.WeightedService{{Service: "engines", Weight: 1}},
 			},
 			{
@@ -251,7 +253,7 @@
 		},
 		Limits: turmericwall.CallerLimits{MaxBodyBytes: 1000},
 	})
-	s.view.List(time.Now(), 1, []turmericwall.Upstream{
+	s.view.ApplyListing(time.Now(), 1, []turmericwall.Upstream{
 		{ID: "a", Service: "plain", Slots: 4},
 		{ID: "b", Service: "plain", Slots: 4},
 		{ID: "c", Service: "plain", Slots: 4},
@@ -260,10 +262,10 @@
 	s.retries = twretries.New(twretries.Config{Ratio: 0.2, Slack: s.slack, WindowMillis: 10_000})
 	s.relay = twrelay.New(twrelay.Config{
 		Routes: routes, View: s.view, Upstreams: s.upstreams, Picker: twpicker.New(""), Placer: s.placer,
-		Throttle: s.throttle,
-		Retries:  s.retries,
-		Keys:     twauthenticator.New(twauthenticator.Config{Routes: routes, Proof: s.proof}),
-		Recorder: tweventlog.New(tweventlog.Config{Output: s.log}), Daemons: func() int { return 1 }, Daemon: "me",
+		Throttle:      s.throttle,
+		Retries:       s.retries,
+		Authenticator: twauthenticator.New(twauthenticator.Config{Routes: routes, Proof: s.proof}),
+		Recorder:      tweventlog.New(tweventlog.Config{Output: s.log}), Daemons: func() int { return 1 }, Daemon: "me",
 		Observe: func(o twrelay.Outcome) { s.outcomes = append(s.outcomes, o) },
 		StopsAt: func() (time.Time, bool) { return s.stopsAt, !s.stopsAt.IsZero() },
 	})
--- a/internal/delivery/twrelay/model.go
+++ b/internal/delivery/twrelay/model.go
@@ -62,7 +62,7 @@
 	}
 	avoid = slices.Concat(avoid, closed)
 	target := a.call.ReceivedAt.Add(time.Duration(a.route.TargetMillis) * time.Millisecond)
-	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceAsk{
+	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceRequest{
 		ID: a.call.ID + "/" + strconv.Itoa(attemptNumber), Service: a.service.Name, Owner: r.config.Daemon,
 		Zone: r.config.Zone, Work: a.call.Work, TargetDeadline: target, GiveUpDeadline: a.deadline,
 		CallerDeadline: a.call.Deadline, Avoid: avoid,
@@ -76,7 +76,7 @@
 	a.stats.placedMillis = a.elapsedMillis()
 	a.stats.late = placement.Late
 	a.stats.prefillEngine = placement.Prefill.ID
-	a.stats.expectedPrefillMillis = placement.ReadDeadline.Sub(a.call.ReceivedAt).Milliseconds()
+	a.stats.expectedPrefillMillis = placement.PrefillEndsAt.Sub(a.call.ReceivedAt).Milliseconds()
 	r.config.Recorder.Record(turmericwall.EventPlacementGranted).Str("request", placement.ID).
 		Str("decode", placement.Decode.ID).
 		Str("prefill", placement.Prefill.ID).Int("placedMillis", a.stats.placedMillis).
@@ -92,7 +92,7 @@
 	anyDecodeOpen := false
 	var earliestRetryAt time.Time
 	for _, u := range r.config.View.Upstreams(a.service.Name) {
-		until := r.config.Throttle.ClosedUntil(u.Key())
+		until := r.config.Throttle.BackoffUntil(u.Key())
 		if until.IsZero() {
 			anyDecodeOpen = anyDecodeOpen || (u.Role == turmericwall.RoleDecode && !u.Leaving)
 			continue
@@ -111,10 +111,10 @@
 
 // checkAcceptsCalls returns an error when the engine has started to leave or to back off since the call was admitted.
 func (r *Relay) checkAcceptsCalls(engine turmericwall.Upstream) error {
-	if !r.config.View.Takes(engine.Key()) {
+	if !r.config.View.AcceptsCalls(engine.Key()) {
 		return errLeaving
 	}
-	if !r.config.Throttle.ClosedUntil(engine.Key()).IsZero() {
+	if !r.config.Throttle.BackoffUntil(engine.Key()).IsZero() {
 		return errBackOff
 	}
 	return nil
@@ -124,13 +124,13 @@
 func (r *Relay) tryPlacement(
 	ctx context.Context, a *attempt, p turmericwall.Placement, avoid *[]string,
 ) (done bool, err error) {
-	end := turmericwall.PlacementEnd{ID: p.ID, Service: a.service.Name}
+	update := turmericwall.PlacementUpdate{ID: p.ID, Service: a.service.Name}
 	defer func() {
-		end.NotRun = isNotRun(err)
-		r.config.Placer.Finish(end)
+		update.NotRun = isNotRun(err)
+		r.config.Placer.ApplyUpdate(update)
 	}()
 	a.upstreamID = p.Decode.ID
-	if err := r.config.Keys.Holds(a.credential); err != nil {
+	if err := r.config.Authenticator.CheckCredential(a.credential); err != nil {
 		return true, err
 	}
 	if limitedID, err := r.admitPlacement(ctx, p); err != nil {
@@ -142,18 +142,18 @@
 	if err != nil {
 		r.returnAdmissions(p.Decode, p.Prefill)
 		if errors.Is(err, errNoMemory) {
-			end.Full = p.Decode.ID
+			update.FullEngine = p.Decode.ID
 		} else {
-			end.Failed = p.Decode.ID
+			update.FailedEngine = p.Decode.ID
 			*avoid = append(*avoid, p.Decode.ID)
 		}
 		return false, notRunProblem(err)
 	}
-	out := turmericwall.Outgoing{
+	out := turmericwall.OutgoingCall{
 		Call: a.call, Deadline: a.deadline, Reservation: reservation,
 		Priority: queuePriority(a.route, p),
 	}
-	if done, err := r.runPrefill(ctx, a, p, &out, &end, avoid); err != nil {
+	if done, err := r.runPrefill(ctx, a, p, &out, &update, avoid); err != nil {
 		r.returnAdmissions(p.Decode)
 		go r.releaseEngines(p.Decode, reservation, p.Prefill, turmericwall.EngineExport{})
 		return done, err
@@ -167,16 +167,16 @@
 	defer a.stallTimer.Stop()
 	answer, err := r.config.Upstreams.Send(ctx, p.Decode, out)
 	if err != nil {
-		return r.handleSendError(ctx, p, err, &end, avoid)
+		return r.handleSendError(ctx, p, err, &update, avoid)
 	}
-	return true, r.streamAnswer(ctx, a, p, answer, &end)
+	return true, r.streamAnswer(ctx, a, p, answer, &update)
 }
 
 // runPrefill has the placement's prefill engine, if there is one, compute and export the prompt; done reports whether
 // the call must not be placed again.
 func (r *Relay) runPrefill(
-	ctx context.Context, a *attempt, p turmericwall.Placement, out *turmericwall.Outgoing,
-	end *turmericwall.PlacementEnd, avoid *[]string,
+	ctx context.Context, a *attempt, p turmericwall.Placement, out *turmericwall.OutgoingCall,
+	update *turmericwall.PlacementUpdate, avoid *[]string,
 ) (done bool, err error) {
 	if p.Prefill.ID == "" {
 		return false, nil
@@ -188,18 +188,18 @@
 	}
 	if err != nil {
 		if !errors.Is(err, errBackOff) {
-			end.Failed = p.Prefill.ID
+			update.FailedEngine = p.Prefill.ID
 		}
 		*avoid = append(*avoid, p.Prefill.ID)
 		return false, notRunProblem(err)
 	}
 	out.Step = turmericwall.StepImport
-	end.PromptRead = true
-	end.PromptMillis = time.Since(began).Milliseconds()
+	update.Prefilled = true
+	update.PrefillMillis = time.Since(began).Milliseconds()
 	a.stats.prefilledMillis = a.elapsedMillis()
-	r.config.Placer.Finish(turmericwall.PlacementEnd{
-		ID: p.ID, Service: end.Service, Running: true, PromptRead: true,
-		PromptMillis: end.PromptMillis,
+	r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{
+		ID: p.ID, Service: update.Service, Running: true, Prefilled: true,
+		PrefillMillis: update.PrefillMillis,
 	})
 	return false, nil
 }
@@ -210,7 +210,7 @@
 	if err := r.checkAcceptsCalls(decode); err != nil {
 		return false, notRunProblem(err)
 	}
-	if err := r.config.Keys.Holds(a.credential); err != nil {
+	if err := r.config.Authenticator.CheckCredential(a.credential); err != nil {
 		return true, err
 	}
 	if !r.spendSend(a) {
@@ -229,7 +229,7 @@
 		return "", nil
 	}
 	if err := r.config.Throttle.Admit(ctx, p.Prefill.Key()); err != nil {
-		r.config.Throttle.Return(p.Decode.Key())
+		r.config.Throttle.ReturnSend(p.Decode.Key())
 		return p.Prefill.ID, err
 	}
 	return "", nil
@@ -239,7 +239,7 @@
 func (r *Relay) returnAdmissions(engines ...turmericwall.Upstream) {
 	for _, e := range engines {
 		if e.ID != "" {
-			r.config.Throttle.Return(e.Key())
+			r.config.Throttle.ReturnSend(e.Key())
 		}
 	}
 }
@@ -249,10 +249,12 @@
 func (r *Relay) startStallTimer(p turmericwall.Placement, service string) *time.Timer {
 	wait := firstEventTimeout
 	if p.Prefill.ID == "" {
-		wait += 2 * max(time.Until(p.ReadDeadline), 0)
+		wait += 2 * max(time.Until(p.PrefillEndsAt), 0)
 	}
 	return time.AfterFunc(wait, func() {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: p.ID, Service: service, Running: true, Failed: p.Decode.ID})
+		r.config.Placer.ApplyUpdate(
+			turmericwall.PlacementUpdate{ID: p.ID, Service: service, Running: true, FailedEngine: p.Decode.ID},
+		)
 	})
 }
 
@@ -266,25 +268,25 @@
 // handleSendError records in end and avoid which engine is at fault for a failed send to the decode engine. It reports
 // whether the call has its final outcome, because it may have run; otherwise the call is placed again.
 func (r *Relay) handleSendError(
-	ctx context.Context, p turmericwall.Placement, err error, end *turmericwall.PlacementEnd, avoid *[]string,
+	ctx context.Context, p turmericwall.Placement, err error, update *turmericwall.PlacementUpdate, avoid *[]string,
 ) (bool, error) {
 	var sent *turmericwall.SendError
-	if !errors.As(err, &sent) || !sent.Safe() {
+	if !errors.As(err, &sent) || !sent.IsSafeToResend() {
 		if ctx.Err() == nil {
-			end.Failed = p.Decode.ID
+			update.FailedEngine = p.Decode.ID
 		}
 		return true, sendProblem(err)
 	}
 	switch {
-	case sent.NotRun && !sent.Gone && p.Prefill.ID != "":
+	case sent.NotRun && !sent.IncarnationReplaced && p.Prefill.ID != "":
 		// Either the export expired, or the decode engine refuses calls although it granted the reservation. This call
 		// avoids both; the engine that works is cleared by its next success.
-		end.Full, end.Doubted = p.Decode.ID, p.Prefill.ID
+		update.FullEngine, update.SuspectedEngine = p.Decode.ID, p.Prefill.ID
 		*avoid = append(*avoid, p.Prefill.ID, p.Decode.ID)
-	case sent.NotRun && !sent.Gone:
-		end.Full = p.Decode.ID
+	case sent.NotRun && !sent.IncarnationReplaced:
+		update.FullEngine = p.Decode.ID
 	default:
-		end.Failed = p.Decode.ID
+		update.FailedEngine = p.Decode.ID
 		*avoid = append(*avoid, p.Decode.ID)
 	}
 	return false, notRunProblem(err)
@@ -297,7 +299,7 @@
 func (r *Relay) reserve(ctx context.Context, p turmericwall.Placement) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	until := p.ReadDeadline.Add(reservationSlack)
+	until := p.PrefillEndsAt.Add(reservationSlack)
 	if latest := time.Now().Add(time.Duration(r.maxReservationMillis(p)) * time.Millisecond); until.After(latest) {
 		until = latest
 	}
@@ -322,7 +324,7 @@
 
 // sendPrefill sends the prompt to the prefill engine and counts the send against the retry budget where it is a retry.
 func (r *Relay) sendPrefill(
-	ctx context.Context, a *attempt, p turmericwall.Placement, out turmericwall.Outgoing,
+	ctx context.Context, a *attempt, p turmericwall.Placement, out turmericwall.OutgoingCall,
 ) (turmericwall.EngineExport, error) {
 	if err := r.checkAcceptsCalls(p.Prefill); err != nil {
 		return turmericwall.EngineExport{}, &turmericwall.SendError{Err: err}
@@ -331,9 +333,9 @@
 	if a.prefilled && !r.spendSend(a) {
 		return turmericwall.EngineExport{}, errRetryBudgetUsed
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*max(time.Until(p.ReadDeadline), 0)+prefillSlack)
+	ctx, cancel := context.WithTimeout(ctx, 2*max(time.Until(p.PrefillEndsAt), 0)+prefillSlack)
 	defer cancel()
-	export, err := r.config.Upstreams.Prefill(ctx, p.Prefill, turmericwall.Outgoing{
+	export, err := r.config.Upstreams.Prefill(ctx, p.Prefill, turmericwall.OutgoingCall{
 		Call: a.call, Deadline: out.Deadline, Priority: out.Priority,
 	})
 	if err != nil && !a.prefilled {
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -35,8 +35,12 @@
 func newModelFixture(places ...turmericwall.Placement) *fixture {
 	s := newFixture(turmericwall.CallIdempotent)
 	s.placer.placements = places
-	s.placer.refusal = turmericwall.Refused(turmericwall.Refusal{Reason: "full", RetryAt: time.Now().Add(2 * time.Second)})
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.placer.refusal = turmericwall.NewRefusalProblem(
+		turmericwall.Refusal{Reason: "full", RetryAt: time.Now().Add(2 * time.Second)},
+	)
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(200, events(1, 3)), nil
 	}
 	return s
@@ -51,8 +55,8 @@
 	g.Expect(s.upstreams.sends[0].Step).To(Equal(turmericwall.StepImport))
 	g.Expect(s.upstreams.sends[0].Export.Handle).To(Equal("h1"))
 	g.Expect(s.upstreams.sends[0].Reservation).To(Equal("r1"))
-	g.Expect(s.placer.ends).To(HaveLen(2), "one report after the prefill, one at the end")
-	g.Expect(s.placer.ends[1].AnswerTokens).To(Equal(150))
+	g.Expect(s.placer.updates).To(HaveLen(2), "one report after the prefill, one at the end")
+	g.Expect(s.placer.updates[1].AnswerTokens).To(Equal(150))
 }
 
 // A prefill is wasted when the decode engine turns out to be full, so memory is reserved before it.
@@ -64,7 +68,7 @@
 	g.Expect(w.Code).To(Equal(503))
 	g.Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 	g.Expect(s.upstreams.prefills).To(BeZero())
-	g.Expect(s.placer.ends[0].Full).To(Equal("d1"))
+	g.Expect(s.placer.updates[0].FullEngine).To(Equal("d1"))
 }
 
 // The export expires before the decode engine imports it. The second prefill must count against the retry budget like
@@ -74,7 +78,9 @@
 	granted := 0
 	for range 40 {
 		s := newModelFixture(splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"))
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			return nil, notRunError()
 		}
 		_, _ = s.serve(context.Background(), "/m/x")
@@ -84,7 +90,9 @@
 	}
 	g.Expect(granted).To(Equal(40 * 6))
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"), splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, notRunError()
 	}
 	sends := 0
@@ -98,16 +106,18 @@
 
 // The engine's stream ends in the middle of an event. The caller gets complete events only, and its connection is
 // closed so that the answer can't be taken as complete.
-func TestABrokenStreamIsNotEndedAsWhole(t *testing.T) {
+func TestATruncatedStreamIsNotCompleted(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return brokenAnswer(events(1, 2)+"id: 3\nda", io.ErrUnexpectedEOF), nil
 	}
 	w, err := s.serve(context.Background(), "/m/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 	g.Expect(w.Body.String()).To(Equal(events(1, 2)))
-	g.Expect(s.placer.ends[len(s.placer.ends)-1].Failed).To(Equal("d1"))
+	g.Expect(s.placer.updates[len(s.placer.updates)-1].FailedEngine).To(Equal("d1"))
 }
 
 // slowBody pauses before its last part.
@@ -135,16 +145,23 @@
 func TestAnEventGapOverTheLimitIsReportedBeforeTheStreamEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		body := &slowBody{parts: []string{events(1, 1), events(2, 2)}, pause: 330 * time.Millisecond}
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: http.Header{}, Body: body}, nil
 	}
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
 	// On a busy machine the pause is long enough for the speed to be reported too.
-	ended := slices.DeleteFunc(s.placer.ends, func(end turmericwall.PlacementEnd) bool { return end.Running && end.AnswerTokens > 0 })
+	ended := slices.DeleteFunc(
+		s.placer.updates,
+		func(update turmericwall.PlacementUpdate) bool { return update.Running && update.AnswerTokens > 0 },
+	)
 	g.Expect(ended).To(HaveLen(3), "reports of the prefill, the event gap and the end")
-	g.Expect(ended[1]).To(Equal(turmericwall.PlacementEnd{ID: "id1/0", Service: "engines", Running: true, Paused: true}))
+	g.Expect(ended[1]).To(
+		Equal(turmericwall.PlacementUpdate{ID: "id1/0", Service: "engines", Running: true, EventGapExceeded: true}),
+	)
 }
 
 // The first calls after a start last for seconds. The placer needs their speed before they end, so that it can change
@@ -152,16 +169,18 @@
 func TestTheSpeedOfAnAnswerIsReportedBeforeItEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		body := &slowBody{parts: []string{events(1, 4), events(5, 5)}, pause: 450 * time.Millisecond}
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: http.Header{}, Body: body}, nil
 	}
 	_, err := s.serve(context.Background(), "/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
-	var reported []turmericwall.PlacementEnd
-	for _, end := range s.placer.ends {
-		if end.Running && end.AnswerTokens > 0 {
-			reported = append(reported, end)
+	var reported []turmericwall.PlacementUpdate
+	for _, update := range s.placer.updates {
+		if update.Running && update.AnswerTokens > 0 {
+			reported = append(reported, update)
 		}
 	}
 	g.Expect(reported).To(HaveLen(1))
@@ -174,7 +193,9 @@
 func TestAStreamThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, &turmericwall.SendError{Sent: true, Err: errConnectionReset}
 	}
 	w, _ := s.serve(context.Background(), "/m/x")
@@ -183,7 +204,7 @@
 }
 
 // The decode engine starts to leave during the prefill. A call sent to it then would be cut short.
-func TestNoWorkIsSentToAnEngineThatBeganToLeave(t *testing.T) {
+func TestNoCallIsSentToALeavingEngine(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
 	s.upstreams.prefill = func(n int) (turmericwall.EngineExport, error) {
@@ -235,7 +256,9 @@
 		first: strings.NewReader(events(1, 2)), rest: strings.NewReader(events(3, 3) + "id: 4\n"),
 		release: make(chan struct{}), end: io.EOF,
 	}
-	s.upstreams.send = func(_ context.Context, to turmericwall.Upstream, call turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		_ context.Context, to turmericwall.Upstream, call turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if to.ID == "d1" {
 			s.view.Put(2, leaving)
 			return &turmericwall.Answer{
@@ -270,7 +293,9 @@
 		first: strings.NewReader(events(1, 2)), rest: strings.NewReader(""),
 		release: make(chan struct{}), end: io.ErrUnexpectedEOF,
 	}
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: map[string][]string{}, Body: body}, nil
 	}
@@ -281,13 +306,13 @@
 		return turmericwall.EngineExport{Address: "d1:1", Handle: "m"}, true, nil
 	}
 	_, err := s.serve(ctx, "/m/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 	g.Eventually(func() int {
 		s.placer.mu.Lock()
 		defer s.placer.mu.Unlock()
 		n := 0
-		for _, end := range s.placer.ends {
-			if end.ID == "id1/m1" {
+		for _, update := range s.placer.updates {
+			if update.ID == "id1/m1" {
 				n++
 			}
 		}
@@ -306,7 +331,9 @@
 	s := newModelFixture(splitPlacement("d1"))
 	leaving := engine("d1", turmericwall.RoleDecode)
 	leaving.Leaving = true
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return answer(200, events(1, 5)), nil
 	}
@@ -317,7 +344,7 @@
 
 // A stream that reaches a stopping daemon late would be cut short. If it is refused at once, its caller reaches another
 // daemon.
-func TestAStoppingDaemonRefusesStreamsThatItCannotFinish(t *testing.T) {
+func TestAStoppingDaemonRefusesStreamsThatItCannotComplete(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
 	s.stopsAt = time.Now().Add(2 * time.Second)
@@ -342,7 +369,7 @@
 
 // The engine leaves while the retry budget is used up. A run that is stopped then can't be resumed and its caller loses
 // the whole answer. It must stay on its engine, which still serves for a while.
-func TestARunIsNotStoppedWithoutABudgetToGoOn(t *testing.T) {
+func TestARunIsNotStoppedWithoutRetryBudget(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), turmericwall.Placement{Decode: engine("d2", turmericwall.RoleDecode)})
 	s.retries.Spend(time.Now(), "engines", 1)
@@ -354,7 +381,9 @@
 		first: strings.NewReader(events(1, 2)), rest: strings.NewReader(events(3, 5)),
 		release: make(chan struct{}), end: io.EOF,
 	}
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: map[string][]string{}, Body: body}, nil
 	}
@@ -373,14 +402,18 @@
 
 // The engine leaves while no other engine has room. The run must continue and be moved a little later; with a single
 // attempt to move it, it would be cut short when its engine terminates.
-func TestARefusedMoveIsAskedForAgain(t *testing.T) {
+func TestARefusedMoveIsRequestedAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
-	s.placer.refusal = turmericwall.Refused(turmericwall.Refusal{Attempt: "id1/m1", Reason: "full", RetryAt: time.Now()})
+	s.placer.refusal = turmericwall.NewRefusalProblem(
+		turmericwall.Refusal{Attempt: "id1/m1", Reason: "full", RetryAt: time.Now()},
+	)
 	leaving := engine("d1", turmericwall.RoleDecode)
 	leaving.Leaving = true
 	reader, writer := io.Pipe()
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		s.view.Put(2, leaving)
 		return &turmericwall.Answer{Status: 200, Length: -1, Header: map[string][]string{}, Body: reader}, nil
 	}
@@ -402,7 +435,7 @@
 
 // The decode engine is unresponsive and its connection does not break. The call must go to another engine while it can
 // still be on time, and the engine must be reported as failed.
-func TestASilentEngineCostsLessThanTheTarget(t *testing.T) {
+func TestAnUnresponsiveEngineIsReplacedWithinTheTarget(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), splitPlacement("d2"))
 	s.upstreams.unresponsive = map[string]bool{"d1": true}
@@ -412,5 +445,5 @@
 	g.Expect(w.Code).To(Equal(200))
 	g.Expect(time.Since(began)).To(BeNumerically("<", 900*time.Millisecond))
 	g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{"d1"}))
-	g.Expect(s.placer.ends[0].Failed).To(Equal("d1"))
+	g.Expect(s.placer.updates[0].FailedEngine).To(Equal("d1"))
 }
--- a/internal/delivery/twrelay/move.go
+++ b/internal/delivery/twrelay/move.go
@@ -48,7 +48,7 @@
 		s.checkRefusedMove()
 		return
 	}
-	if s.relay.config.View.Takes(s.engine.Key()) {
+	if s.relay.config.View.AcceptsCalls(s.engine.Key()) {
 		return
 	}
 	if s.attempt.moves >= maxMoves || time.Now().Before(s.nextMoveAt) {
@@ -81,7 +81,7 @@
 // moveRun places a run on another engine and copies its memory there. The send that resumes the run is taken from the
 // retry budget before the run is stopped, because a stopped run that can't be resumed loses its answer.
 func (r *Relay) moveRun(ctx context.Context, a *attempt, request moveRequest) moveResult {
-	if !r.config.Throttle.ClosedUntil(request.from.Key()).IsZero() {
+	if !r.config.Throttle.BackoffUntil(request.from.Key()).IsZero() {
 		return moveResult{err: errBackOff}
 	}
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
@@ -91,7 +91,7 @@
 	work.PromptTokens = request.heldTokens
 	work.HintTokens = max(work.HintTokens-generatedTokens, a.service.Engine.TokensPerEvent)
 	work.MaxTokens = max(work.MaxTokens-generatedTokens, a.service.Engine.TokensPerEvent)
-	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceAsk{
+	placement, err := r.config.Placer.Place(ctx, turmericwall.PlaceRequest{
 		ID: fmt.Sprintf("%s/m%d", a.call.ID, request.sequence), Service: a.service.Name, Owner: r.config.Daemon,
 		Zone: request.from.Zone, Work: work, TargetDeadline: a.deadline, GiveUpDeadline: a.deadline,
 		CallerDeadline: a.call.Deadline, EventGapMillis: a.route.EventGapMillis, Moving: true,
@@ -101,22 +101,22 @@
 		return moveResult{err: err}
 	}
 	if err := r.checkAcceptsCalls(placement.Decode); err != nil {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		return moveResult{err: err}
 	}
 	if err := r.config.Throttle.Admit(ctx, placement.Decode.Key()); err != nil {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		return moveResult{err: err}
 	}
 	if !r.config.Retries.Spend(time.Now(), a.service.Name, r.config.Daemons()) {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		return moveResult{err: errRetryBudgetUsed}
 	}
 	export, copied, err := r.config.Upstreams.MoveRun(ctx, request.from, placement.Decode, a.call.ID)
 	if err != nil {
-		r.config.Placer.Finish(turmericwall.PlacementEnd{ID: placement.ID, Service: a.service.Name})
+		r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: placement.ID, Service: a.service.Name})
 		var sent *turmericwall.SendError
-		return moveResult{stopped: !errors.As(err, &sent) || !sent.Safe(), err: err}
+		return moveResult{stopped: !errors.As(err, &sent) || !sent.IsSafeToResend(), err: err}
 	}
 	return moveResult{placement: placement, export: export, copied: copied}
 }
@@ -134,7 +134,7 @@
 		}
 		return streamErr
 	}
-	defer r.config.Placer.Finish(turmericwall.PlacementEnd{ID: result.placement.ID, Service: a.service.Name})
+	defer r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: result.placement.ID, Service: a.service.Name})
 	if s.lastEventID == 0 {
 		return errors.Join(streamErr, errNoEvent)
 	}
@@ -144,7 +144,7 @@
 	}
 	a.countedSends++
 	a.moves++
-	answer, err := r.config.Upstreams.Send(ctx, to, turmericwall.Outgoing{
+	answer, err := r.config.Upstreams.Send(ctx, to, turmericwall.OutgoingCall{
 		Call: a.call, Deadline: a.deadline, Step: turmericwall.StepImport, Export: result.export, ResumeAfter: s.lastEventID,
 	})
 	if err != nil {
@@ -155,7 +155,7 @@
 		return errors.Join(streamErr, fmt.Errorf("the engine answered status %d to a moved run", answer.Status))
 	}
 	// The earlier run has ended. If its placement lasted until the end of the stream, its memory would stay reserved.
-	r.config.Placer.Finish(turmericwall.PlacementEnd{ID: s.placementID, Service: a.service.Name})
+	r.config.Placer.ApplyUpdate(turmericwall.PlacementUpdate{ID: s.placementID, Service: a.service.Name})
 	s.engine = to
 	s.placementID = result.placement.ID
 	a.upstreamID = to.ID
@@ -178,7 +178,9 @@
 	if outcome.err != nil {
 		return
 	}
-	s.relay.config.Placer.Finish(turmericwall.PlacementEnd{ID: outcome.placement.ID, Service: s.attempt.service.Name})
+	s.relay.config.Placer.ApplyUpdate(
+		turmericwall.PlacementUpdate{ID: outcome.placement.ID, Service: s.attempt.service.Name},
+	)
 	s.relay.releaseEngines(outcome.placement.Decode, "", s.engine, outcome.export)
 }
 
--- a/internal/delivery/twrelay/plain_test.go
+++ b/internal/delivery/twrelay/plain_test.go
@@ -15,7 +15,9 @@
 func TestAnAnswerIsPassedOnUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(200, "booked"), nil
 	}
 	w, err := s.serve(context.Background(), "/p/x")
@@ -28,10 +30,12 @@
 
 // A booking reaches an upstream, and the connection breaks before the answer. The booking may have been made, so the
 // caller must not get "not run", and the call must not go to a second upstream.
-func TestANonIdempotentCallIsNeverSentAgainOnceItMayHaveRun(t *testing.T) {
+func TestANonIdempotentCallThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, &turmericwall.SendError{Sent: true, Err: errConnectionReset}
 	}
 	w, _ := s.serve(context.Background(), "/p/x")
@@ -43,7 +47,9 @@
 func TestANonIdempotentCallIsSentAgainAfterARefusal(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if len(s.upstreams.sentTo()) == 1 {
 			return nil, notRunError()
 		}
@@ -56,11 +62,13 @@
 
 // A failing upstream answers 503 to a booking without stating that it did not run. If the status were passed on, the
 // caller would take the booking as not made and repeat it.
-func TestAStatusThatPromisesNotRunIsNotPassedOnUnsaid(t *testing.T) {
+func TestAnUnstatedNotRunStatusIsNotPassedOn(t *testing.T) {
 	for _, status := range []int{408, 421, 429, 503} {
 		g := NewWithT(t)
 		s := newFixture(turmericwall.CallNonIdempotent)
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			return answer(status, "no"), nil
 		}
 		w, _ := s.serve(context.Background(), "/p/x")
@@ -72,7 +80,9 @@
 func TestACallThatNoUpstreamRanIsRefusedWithARetryTime(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, notRunError()
 	}
 	w, _ := s.serve(context.Background(), "/p/x")
@@ -102,7 +112,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newFixture(turmericwall.CallIdempotent)
-			s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+			s.upstreams.send = func(
+				context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+			) (*turmericwall.Answer, error) {
 				if len(s.upstreams.sentTo()) == 1 {
 					return c.first()
 				}
@@ -121,7 +133,9 @@
 func TestAnIdempotentCallIsHedgedWhenItsUpstreamIsUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		if len(s.upstreams.sentTo()) == 1 {
 			<-ctx.Done()
 			return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
@@ -138,7 +152,9 @@
 func TestAFailureIsPassedOnWhenNoUpstreamSucceeds(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(500, "broken"), nil
 	}
 	w, _ := s.serve(context.Background(), "/p/x")
@@ -151,7 +167,9 @@
 func TestTheRoutesTimeoutEndsACall(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		<-ctx.Done()
 		return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
 	}
@@ -166,7 +184,9 @@
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
 	ended := make(chan struct{}, 2)
-	s.upstreams.send = func(ctx context.Context, _ turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		ctx context.Context, _ turmericwall.Upstream, _ turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		<-ctx.Done()
 		ended <- struct{}{}
 		return nil, &turmericwall.SendError{Sent: true, Err: ctx.Err()}
@@ -174,7 +194,7 @@
 	ctx, leave := context.WithCancel(context.Background())
 	time.AfterFunc(30*time.Millisecond, leave)
 	_, err := s.serve(ctx, "/p/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 	g.Eventually(ended).Should(Receive())
 	g.Expect(s.outcomes[0].Result).To(Equal("left"))
 }
@@ -183,11 +203,13 @@
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallNonIdempotent)
 	long := make([]byte, 200_000)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return brokenAnswer(string(long), io.ErrUnexpectedEOF), nil
 	}
 	_, err := s.serve(context.Background(), "/p/x")
-	g.Expect(err).To(MatchError(twrelay.ErrBrokenOff))
+	g.Expect(err).To(MatchError(twrelay.ErrAnswerTruncated))
 }
 
 func TestUnknownRoutesAndLargeBodiesAreRefused(t *testing.T) {
@@ -208,7 +230,9 @@
 func TestNoSecondSendBeyondTheBudget(t *testing.T) {
 	g := NewWithT(t)
 	s := newFixture(turmericwall.CallIdempotent)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return answer(500, "broken"), nil
 	}
 	const calls = 150
--- a/internal/delivery/twrelay/throttle_test.go
+++ b/internal/delivery/twrelay/throttle_test.go
@@ -25,7 +25,9 @@
 		s := newFixture(kind)
 		s.closeUpstream("a", time.Second)
 		s.closeUpstream("b", time.Second)
-		s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+		s.upstreams.send = func(
+			context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+		) (*turmericwall.Answer, error) {
 			return answer(200, "ok"), nil
 		}
 		w, _ := s.serve(context.Background(), "/p/x")
@@ -72,7 +74,9 @@
 			g := NewWithT(t)
 			s := newFixture(c.kind)
 			s.closeUpstream("b", time.Second)
-			s.upstreams.send = func(ctx context.Context, to turmericwall.Upstream, _ turmericwall.Outgoing) (*turmericwall.Answer, error) {
+			s.upstreams.send = func(
+				ctx context.Context, to turmericwall.Upstream, _ turmericwall.OutgoingCall,
+			) (*turmericwall.Answer, error) {
 				if to.ID == "a" {
 					return c.first(ctx)
 				}
@@ -93,7 +97,9 @@
 	for s.retries.Spend(time.Now(), "plain", 1) {
 		continue
 	}
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		return nil, notRunError()
 	}
 	_, _ = s.serve(context.Background(), "/p/x")
@@ -117,7 +123,7 @@
 		g.Expect(s.upstreams.prefills).To(BeZero())
 		g.Expect(s.upstreams.reservations).To(Equal(1), "nothing is reserved at the engine of the first placement")
 		g.Expect(s.placer.requests[1].Avoid).To(Equal([]string{limited}))
-		g.Expect(s.placer.ends[0].NotRun).To(BeTrue())
+		g.Expect(s.placer.updates[0].NotRun).To(BeTrue())
 		g.Expect(s.throttle.admitted["d1"]).To(BeZero())
 		g.Expect(s.throttle.admitted["d2"]).To(Equal(1))
 	}
@@ -128,7 +134,9 @@
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"), turmericwall.Placement{Decode: engine("d2", turmericwall.RoleDecode)})
 	s.closeUpstream("d2", time.Second)
-	s.upstreams.send = func(context.Context, turmericwall.Upstream, turmericwall.Outgoing) (*turmericwall.Answer, error) {
+	s.upstreams.send = func(
+		context.Context, turmericwall.Upstream, turmericwall.OutgoingCall,
+	) (*turmericwall.Answer, error) {
 		leaving := engine("d1", turmericwall.RoleDecode)
 		leaving.Leaving = true
 		s.view.Put(5, leaving)
--- a/internal/edge/twedge/edge.go
+++ b/internal/edge/twedge/edge.go
@@ -107,7 +107,7 @@
 	if e.config.TLS != nil {
 		listener = tls.NewListener(listener, e.config.TLS)
 	}
-	return twserve.Until(ctx, e.server, listener)
+	return twserve.ServeUntilDone(ctx, e.server, listener)
 }
 
 // DisableKeepAlives makes each connection close after its next answer, so that callers open new ones elsewhere.
@@ -151,17 +151,17 @@
 		document, ok := e.config.Documents.Current()
 		if !ok {
 			return turmericwall.NewProblem(turmericwall.KindNotReady, "the daemon knows no configuration yet",
-				"come back in a few seconds").WithRetryAt(e.config.Clock.Now().Add(time.Second))
+				"retry after the delay in Retry-After").WithRetryAt(e.config.Clock.Now().Add(time.Second))
 		}
-		account, ok := e.keys.Find(document, c.Request().Header.Get(echo.HeaderAuthorization))
+		account, ok := e.keys.FindAccount(document, c.Request().Header.Get(echo.HeaderAuthorization))
 		if !ok {
 			return turmericwall.NewProblem(turmericwall.KindUnauthorized, "the key is missing or unknown",
 				"send Authorization: Bearer with the account's key")
 		}
-		daemons := len(e.config.Peers.Leaders())
+		daemons := len(e.config.Peers.EligibleLeaders())
 		if retryAt, ok := e.config.Limiter.Admit(e.config.Clock.Now(), account, daemons); !ok {
 			return turmericwall.NewProblem(turmericwall.KindOverLimit, "the account is over its rate limit",
-				"come back at the time given").WithRetryAt(retryAt)
+				"retry after the delay in Retry-After").WithRetryAt(retryAt)
 		}
 		c.Set(callContextKey, call{id: c.Response().Header().Get(headerRequestID), document: document, account: account})
 		return next(c)
--- a/internal/membership/twcluster/cluster_test.go
+++ b/internal/membership/twcluster/cluster_test.go
@@ -17,7 +17,7 @@
 	"github.com/turmericwall/turmericwall/internal/membership/twelection"
 	"github.com/turmericwall/turmericwall/internal/membership/twproof"
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
-	"github.com/turmericwall/turmericwall/internal/placement/twaway"
+	"github.com/turmericwall/turmericwall/internal/placement/twrolechange"
 )
 
 // store simulates the tables of the store. It can be made unavailable, unresponsive or closed to one daemon's writes.
@@ -78,7 +78,7 @@
 	return turmericwall.Snapshot{}, errors.New("not used")
 }
 
-func (s *store) Swap(
+func (s *store) CompareAndSwap(
 	_ context.Context, table, key string, ifVersion int64, value []byte,
 ) (int64, turmericwall.FeedRow, bool, error) {
 	s.mu.Lock()
@@ -120,10 +120,12 @@
 	if !ok || partitioned {
 		return turmericwall.HeartbeatReply{}, errors.New("peer unreachable")
 	}
-	return cluster.Heard(heartbeat), nil
+	return cluster.ApplyHeartbeat(heartbeat), nil
 }
 
-func (n *network) State(_ context.Context, address string, _ turmericwall.StateAsk) (turmericwall.SharedState, error) {
+func (n *network) FetchState(
+	_ context.Context, address string, _ turmericwall.StateRequest,
+) (turmericwall.SharedState, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	cluster, ok := n.clusters[address]
@@ -134,14 +136,19 @@
 	return turmericwall.SharedState{Members: members, MembersVersion: version}, nil
 }
 
-func (n *network) Place(context.Context, string, turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (n *network) Place(context.Context, string, turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	return turmericwall.Placement{}, nil
 }
 
-func (n *network) Finish(context.Context, string, []turmericwall.PlacementEnd) error { return nil }
-func (n *network) Runs(context.Context, string, []turmericwall.PlacedRun) error      { return nil }
+func (n *network) SendUpdates(context.Context, string, []turmericwall.PlacementUpdate) error {
+	return nil
+}
+
+func (n *network) ReportPlacedCalls(context.Context, string, []turmericwall.PlacedCall) error {
+	return nil
+}
 
-func (n *network) Admit(context.Context, string, turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+func (n *network) Admit(context.Context, string, turmericwall.AdmitRequest) (turmericwall.AdmitReply, error) {
 	return turmericwall.AdmitReply{}, nil
 }
 
@@ -150,8 +157,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for other, known := range n.clusters {
-		known.Join(turmericwall.Member{Address: address})
-		cluster.Join(turmericwall.Member{Address: other})
+		known.AddMember(turmericwall.Member{Address: address})
+		cluster.AddMember(turmericwall.Member{Address: other})
 	}
 	n.clusters[address] = cluster
 }
@@ -177,7 +184,7 @@
 	// readsOnlyInRole limits reads of the store to a leader or a standby; lastReadAt is the time of the last read.
 	readsOnlyInRole bool
 	lastReadAt      time.Time
-	roleChanges     *twaway.Away
+	roleChanges     *twrolechange.RoleChanges
 	proof           *twproof.Proof
 }
 
@@ -212,32 +219,32 @@
 func startWithDelay(t *testing.T, s *store, n *network, name string, electionDelay time.Duration) *daemon {
 	t.Helper()
 	log := tweventlog.New(tweventlog.Config{Output: io.Discard})
-	d := &daemon{roleChanges: twaway.New()}
+	d := &daemon{roleChanges: twrolechange.New()}
 	self := turmericwall.Member{Name: name, Address: name, Incarnation: name + "1"}
 	d.proof = twproof.New(twproof.Config{Incarnation: self.Incarnation})
 	d.election = twelection.New(twelection.Config{
-		Store: s, Self: self, Recorder: log, Apart: time.Second,
-		Patience:    func() time.Duration { return electionDelay },
-		LeaderHeard: func() bool { return d.cluster.Informed() },
-		Ready:       func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !d.stopping },
-		Elected:     func() { d.cluster.Elected() },
+		Store: s, Self: self, Recorder: log, OrderGap: time.Second,
+		ElectionDelay:      func() time.Duration { return electionDelay },
+		FollowsFreshLeader: func() bool { return d.cluster.FollowsFreshLeader() },
+		IsReady:            func() bool { d.mu.Lock(); defer d.mu.Unlock(); return !d.stopping },
+		OnElected:          func() { d.cluster.AnnounceElection() },
 	})
 	none := func() int64 { return 0 }
 	d.cluster = twcluster.New(twcluster.Config{
 		Proof: d.proof,
-		Peers: n, Self: self, Recorder: log, Leading: d.election.Holds, PlanVersion: none, UpstreamsPosition: none,
-		LeaseVersion: d.election.Version, LeaseTold: d.election.Told, ReadAt: d.readAt,
-		Outranked: d.election.Yield, Nominated: d.election.Nominate,
-		Behind: func(ctx context.Context, other turmericwall.Member) {
-			if state, err := n.State(ctx, other.Address, turmericwall.StateAsk{}); err == nil {
+		Peers: n, Self: self, Recorder: log, IsLeader: d.election.Holds, PlanVersion: none, UpstreamsPosition: none,
+		LeaseVersion: d.election.LeaseVersion, ApplyLeaseVersion: d.election.RecordLeaseVersion, ReadAt: d.readAt,
+		OnOutranked: d.election.Yield, OnNominated: d.election.Nominate,
+		FetchState: func(ctx context.Context, other turmericwall.Member) {
+			if state, err := n.FetchState(ctx, other.Address, turmericwall.StateRequest{}); err == nil {
 				d.cluster.AddMembers(state.MembersVersion, state.Members)
 			}
 		},
 		LeaseExpired: d.election.Expired, Staleness: 1300 * time.Millisecond,
-		Stopping:     func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.stopping },
-		Changing:     func() []turmericwall.ChangingEngine { return d.roleChanges.List(time.Now()) },
-		ChangingTold: func(list []turmericwall.ChangingEngine) { d.roleChanges.Told(time.Now(), list) },
-		Gone: func(incarnation string) {
+		IsStopping:    func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.stopping },
+		Changing:      func() []turmericwall.ChangingEngine { return d.roleChanges.List(time.Now()) },
+		ApplyChanging: func(list []turmericwall.ChangingEngine) { d.roleChanges.AddReported(time.Now(), list) },
+		OnPeerLost: func(incarnation string) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.lostIncarnations = append(d.lostIncarnations, incarnation)
@@ -286,8 +293,8 @@
 	b, c := start(t, s, n, "b"), start(t, s, n, "c")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 	g.Eventually(follows(c, "a"), eventualTimeout).Should(BeTrue())
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
-	g.Eventually(b.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(b.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	_, ok := a.election.Fence()
 	g.Expect(ok).To(BeTrue())
 	a.stop()
@@ -334,7 +341,7 @@
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(2))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(2))
 	n.setPartitioned("b", true)
 	g.Eventually(a.lostPeers, eventualTimeout).Should(Equal([]string{"b1"}))
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeFalse())
@@ -353,7 +360,7 @@
 	c := start(t, s, n, "c")
 	time.Sleep(20 * time.Millisecond)
 	b := start(t, s, n, "b")
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
@@ -387,7 +394,7 @@
 	c := start(t, s, n, "c")
 	time.Sleep(20 * time.Millisecond)
 	b := start(t, s, n, "b")
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	b.mu.Lock()
 	b.stopping = true
 	b.mu.Unlock()
@@ -405,7 +412,7 @@
 	s, n, a := startLeader(t, g)
 	slowLink := startWithDelay(t, s, n, "poor", eventualTimeout)
 	fastLink := start(t, s, n, "good")
-	g.Eventually(a.cluster.Daemons, eventualTimeout).Should(Equal(3))
+	g.Eventually(a.cluster.LiveDaemons, eventualTimeout).Should(Equal(3))
 	a.stop()
 	n.setPartitioned("a", true)
 	g.Eventually(leads(fastLink), eventualTimeout).Should(BeTrue())
@@ -419,29 +426,29 @@
 	g := NewWithT(t)
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
-	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeTrue())
+	g.Eventually(b.cluster.FollowsFreshLeader, eventualTimeout).Should(BeTrue())
 	a.mu.Lock()
 	a.readsFail = true
 	a.mu.Unlock()
-	g.Eventually(b.cluster.Informed, eventualTimeout).Should(BeFalse())
+	g.Eventually(b.cluster.FollowsFreshLeader, eventualTimeout).Should(BeFalse())
 	s.refuse("a")
 	g.Eventually(leads(b), eventualTimeout).Should(BeTrue())
 	g.Eventually(leads(a), eventualTimeout).Should(BeFalse())
 	g.Eventually(follows(a, "b"), eventualTimeout).Should(BeTrue())
 }
 
-// Guards against a deadlock: the election called Elected under its own lock, while the cluster held its lock and
+// Guards against a deadlock: the election called OnElected under its own lock, while the cluster held its lock and
 // called Holds. The daemon then answered no more requests.
-func TestElectedCallbackMayCallHolds(t *testing.T) {
+func TestOnElectedMayCallHolds(t *testing.T) {
 	g := NewWithT(t)
 	held := make(chan bool, 1)
 	var election *twelection.Election
 	election = twelection.New(twelection.Config{
-		Store: newStore(), Self: turmericwall.Member{Name: "a", Incarnation: "a1"}, Apart: time.Second,
-		Recorder:    tweventlog.New(tweventlog.Config{Output: io.Discard}),
-		LeaderHeard: func() bool { return false }, Ready: func() bool { return true },
-		Patience: func() time.Duration { return 0 },
-		Elected: func() {
+		Store: newStore(), Self: turmericwall.Member{Name: "a", Incarnation: "a1"}, OrderGap: time.Second,
+		Recorder:           tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		FollowsFreshLeader: func() bool { return false }, IsReady: func() bool { return true },
+		ElectionDelay: func() time.Duration { return 0 },
+		OnElected: func() {
 			_, holds := election.Holds()
 			held <- holds
 		},
@@ -469,8 +476,8 @@
 	s, n, a := startLeader(t, g)
 	b := start(t, s, n, "b")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
-	a.roleChanges.Note("e", turmericwall.RolePrefill, time.Now().Add(time.Minute))
+	a.roleChanges.Add("e", turmericwall.RolePrefill, time.Now().Add(time.Minute))
 	g.Eventually(func() bool {
-		return b.roleChanges.Is(time.Now(), turmericwall.Upstream{ID: "e", Role: turmericwall.RoleDecode})
+		return b.roleChanges.IsChangingRole(time.Now(), turmericwall.Upstream{ID: "e", Role: turmericwall.RoleDecode})
 	}, "1s").Should(BeTrue())
 }
--- a/internal/membership/twcluster/proof_test.go
+++ b/internal/membership/twcluster/proof_test.go
@@ -47,14 +47,14 @@
 	b := start(t, s, n, "b")
 	g.Eventually(follows(b, "a"), eventualTimeout).Should(BeTrue())
 	heartbeat := turmericwall.Heartbeat{
-		Leader: turmericwall.Member{Name: "z", Address: "z", Incarnation: "z1"}, Term: 99, ProofMillis: 0,
-		Echo: turmericwall.Echo{Incarnation: "b1", Moment: int64(twboottime.Now())},
+		Leader: turmericwall.Member{Name: "z", Address: "z", Incarnation: "z1"}, Term: 99, ProofAgeMillis: 0,
+		Echo: turmericwall.Echo{Incarnation: "b1", BootTimeNanos: int64(twboottime.Now())},
 	}
 	heartbeat.PlanVersion = 1
-	b.cluster.Heard(heartbeat)
+	b.cluster.ApplyHeartbeat(heartbeat)
 	g.Expect(b.proof.AgeMillis(twboottime.Now())).To(BeEquivalentTo(-1))
 	heartbeat.PlanVersion = 0
-	b.cluster.Heard(heartbeat)
+	b.cluster.ApplyHeartbeat(heartbeat)
 	g.Expect(b.proof.AgeMillis(twboottime.Now())).To(BeNumerically("<", time.Second.Milliseconds()))
 }
 
@@ -70,7 +70,7 @@
 			Self:  turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"},
 			Proof: proof, Peers: recording{sent: sent},
 			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
-			Leading:  func() (int64, bool) { return 1, true },
+			IsLeader: func() (int64, bool) { return 1, true },
 			ReadAt:   func() time.Time { return time.Time{} }, LeaseVersion: none, UpstreamsPosition: none,
 			PlanVersion: func() int64 {
 				proof.Confirm(twboottime.Now())
@@ -78,16 +78,16 @@
 			},
 		})
 	}
-	g.Expect(newReadingCluster().Self().ProofMillis).To(BeEquivalentTo(-1), "the read ended after the age was taken")
+	g.Expect(newReadingCluster().Self().ProofAgeMillis).To(BeEquivalentTo(-1), "the read ended after the age was taken")
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	leader := newReadingCluster()
 	go func() { ended <- leader.Run(ctx) }()
 	defer func() { stop(); <-ended }()
-	leader.Join(turmericwall.Member{Address: "b"})
+	leader.AddMember(turmericwall.Member{Address: "b"})
 	var first turmericwall.Heartbeat
 	g.Eventually(sent, "3s").Should(Receive(&first))
-	g.Expect(first.ProofMillis).To(BeEquivalentTo(-1))
+	g.Expect(first.ProofAgeMillis).To(BeEquivalentTo(-1))
 }
 
 // recording is a peer client that passes on the heartbeats that are sent and fails every call.
--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -15,8 +15,8 @@
 	"github.com/turmericwall/turmericwall/internal/document/twrevision"
 	"github.com/turmericwall/turmericwall/internal/membership/twdialer"
 	"github.com/turmericwall/turmericwall/internal/membership/twfleet"
+	"github.com/turmericwall/turmericwall/internal/membership/twliveness"
 	"github.com/turmericwall/turmericwall/internal/membership/twpeer"
-	"github.com/turmericwall/turmericwall/internal/membership/twroster"
 )
 
 // Few peers cost little and spread heartbeats fast. With more peers, one peer in each round keeps the control traffic
@@ -45,7 +45,7 @@
 	lost     chan string
 
 	mu       sync.Mutex
-	tracker  *twroster.Tracker
+	tracker  *twliveness.Tracker
 	draining bool
 	// reportedLive holds the incarnations that were logged as live.
 	reportedLive map[string]bool
@@ -80,7 +80,7 @@
 		self:         config.Incarnation,
 		address:      config.Address,
 		lost:         make(chan string, lostBuffer),
-		tracker:      twroster.New(self),
+		tracker:      twliveness.New(self),
 		reportedLive: make(map[string]bool),
 	}
 }
@@ -123,22 +123,22 @@
 // Self returns this daemon's incarnation.
 func (e *Exchange) Self() string { return e.self }
 
-// Live reports whether the incarnation counts as live.
-func (e *Exchange) Live(incarnation string) bool {
+// IsLive reports whether the incarnation counts as live.
+func (e *Exchange) IsLive(incarnation string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.IsLive(e.clock.Now(), incarnation)
 }
 
-// Isolated reports whether fewer than half of the listed daemons are reachable. It is then more likely that this
+// IsPartitioned reports whether fewer than half of the listed daemons are reachable. It is then more likely that this
 // daemon is partitioned, and what the others hold must not count as orphaned.
-func (e *Exchange) Isolated() bool {
+func (e *Exchange) IsPartitioned() bool {
 	listed := len(e.fleet.Upstreams(twfleet.DaemonService))
 	return 2*len(e.Members()) < listed
 }
 
-// Leaders returns the live daemons that are not draining, in the order of their incarnations.
-func (e *Exchange) Leaders() []string {
+// EligibleLeaders returns the live daemons that are not draining, in the order of their incarnations.
+func (e *Exchange) EligibleLeaders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var leaders []string
@@ -161,9 +161,9 @@
 	return e.tracker.Snapshot(e.clock.Now()).GetBeats()
 }
 
-// Meet exchanges heartbeats with all known addresses, for a daemon that starts while the platform is unavailable. It
-// returns how many peers answered.
-func (e *Exchange) Meet(ctx context.Context) int {
+// ExchangeWithAll exchanges heartbeats with all known addresses, for a daemon that starts while the platform is
+// unavailable. It returns how many peers answered.
+func (e *Exchange) ExchangeWithAll(ctx context.Context) int {
 	answered := 0
 	for _, address := range e.addresses() {
 		if e.exchangeWith(ctx, address) == nil {
@@ -274,7 +274,7 @@
 // platform is unavailable could otherwise reach no upstream.
 func (e *Exchange) fetchVMs(ctx context.Context) {
 	members := e.Members()[1:]
-	if e.fleet.Known() || len(members) == 0 {
+	if e.fleet.HasList() || len(members) == 0 {
 		return
 	}
 	address := members[rand.IntN(len(members))].GetAddress()
@@ -304,6 +304,6 @@
 		if err != nil {
 			return err
 		}
-		return e.holder.Offer(reply.GetRevision(), reply.GetSource(), "peer "+address)
+		return e.holder.ApplyIfNewer(reply.GetRevision(), reply.GetSource(), "peer "+address)
 	})
 }
--- a/internal/membership/twpeerhttp/client.go
+++ b/internal/membership/twpeerhttp/client.go
@@ -49,14 +49,14 @@
 	return reply, c.call(ctx, address, pathHeartbeat, heartbeat, &reply)
 }
 
-// State requests routes and upstreams from a daemon.
-func (c *Client) State(
-	ctx context.Context, address string, ask turmericwall.StateAsk,
+// FetchState requests routes and upstreams from a daemon.
+func (c *Client) FetchState(
+	ctx context.Context, address string, request turmericwall.StateRequest,
 ) (turmericwall.SharedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply wireState
-	if err := c.call(ctx, address, pathState, ask, &reply); err != nil {
+	if err := c.call(ctx, address, pathState, request, &reply); err != nil {
 		return turmericwall.SharedState{}, err
 	}
 	if err := unpack("plan", reply.PackedPlan, &reply.Plan); err != nil {
@@ -70,60 +70,64 @@
 
 // Place requests a placement from the leader and waits for its decision. A refusal is returned as a
 // turmericwall.Problem, a failed call as another error.
-func (c *Client) Place(ctx context.Context, address string, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (c *Client) Place(
+	ctx context.Context, address string, request turmericwall.PlaceRequest,
+) (turmericwall.Placement, error) {
 	var reply wirePlaceReply
-	if err := c.call(ctx, address, pathPlace, encodePlaceRequest(time.Now(), ask), &reply); err != nil {
+	if err := c.call(ctx, address, pathPlace, encodePlaceRequest(time.Now(), request), &reply); err != nil {
 		return turmericwall.Placement{}, err
 	}
 	now := time.Now()
 	if reply.OverLimit {
 		return turmericwall.Placement{}, turmericwall.
-			NewProblem(turmericwall.KindOverLimit, reply.Reason, "retry at the time given").
+			NewProblem(turmericwall.KindOverLimit, reply.Reason, "retry after the delay in Retry-After").
 			WithRetryAt(now.Add(time.Duration(reply.RetryMillis) * time.Millisecond))
 	}
 	if reply.Refused {
-		return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{
-			Attempt: ask.ID, Reason: reply.Reason, Never: reply.Never,
+		return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{
+			Attempt: request.ID, Reason: reply.Reason, Permanent: reply.Never,
 			RetryAt: now.Add(time.Duration(reply.RetryMillis) * time.Millisecond),
 		})
 	}
 	return turmericwall.Placement{
-		ID: ask.ID, Decode: reply.Decode, Prefill: reply.Prefill, ReserveTokens: reply.ReserveTokens,
+		ID: request.ID, Decode: reply.Decode, Prefill: reply.Prefill, ReserveTokens: reply.ReserveTokens,
 		Reason: reply.Reason, Late: reply.Late,
-		ReadDeadline: now.Add(time.Duration(reply.ReadMillis) * time.Millisecond),
+		PrefillEndsAt: now.Add(time.Duration(reply.ReadMillis) * time.Millisecond),
 	}, nil
 }
 
-// Finish reports to the leader what happened to placed calls.
-func (c *Client) Finish(ctx context.Context, address string, ends []turmericwall.PlacementEnd) error {
+// SendUpdates reports to the leader what happened to placed calls.
+func (c *Client) SendUpdates(ctx context.Context, address string, updates []turmericwall.PlacementUpdate) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.call(ctx, address, pathFinish, ends, nil)
+	return c.call(ctx, address, pathFinish, updates, nil)
 }
 
-// Runs reports this daemon's calls under way to a new leader.
-func (c *Client) Runs(ctx context.Context, address string, runs []turmericwall.PlacedRun) error {
+// ReportPlacedCalls reports this daemon's calls under way to a new leader.
+func (c *Client) ReportPlacedCalls(ctx context.Context, address string, placedCalls []turmericwall.PlacedCall) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := time.Now()
-	list := make([]wireRun, 0, len(runs))
-	for _, r := range runs {
-		list = append(list, wireRun{Ask: encodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis})
+	list := make([]wirePlacedCall, 0, len(placedCalls))
+	for _, r := range placedCalls {
+		list = append(
+			list, wirePlacedCall{Request: encodePlaceRequest(now, r.Request), Engine: r.Engine, AgeMillis: r.AgeMillis},
+		)
 	}
 	return c.call(ctx, address, pathRuns, list, nil)
 }
 
 // Admit requests sends to an upstream that states a rate from the rate coordinator. Its time limit is that of ctx.
 func (c *Client) Admit(
-	ctx context.Context, address string, ask turmericwall.AdmitAsk,
+	ctx context.Context, address string, request turmericwall.AdmitRequest,
 ) (turmericwall.AdmitReply, error) {
 	var reply turmericwall.AdmitReply
-	return reply, c.call(ctx, address, pathAdmit, ask, &reply)
+	return reply, c.call(ctx, address, pathAdmit, request, &reply)
 }
 
 // call posts a message as JSON and decodes the answer into reply unless that is nil.
-func (c *Client) call(ctx context.Context, address, path string, ask, reply any) error {
-	body, err := json.Marshal(ask)
+func (c *Client) call(ctx context.Context, address, path string, message, reply any) error {
+	body, err := json.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
 	}
--- a/internal/membership/twpeerhttp/fuzz_test.go
+++ b/internal/membership/twpeerhttp/fuzz_test.go
@@ -37,46 +37,48 @@
 					Name: name, Quota: turmericwall.Quota{PerSecond: 10, Burst: 10, CountsTokens: true},
 				}, true
 			},
-			Leading: func() bool { return true }, Led: func() bool { return false }, Daemons: func() int { return 1 },
-			Absent: func() int { return 0 }, Random: func() float64 { return 0 }, Now: time.Now,
+			IsLeader: func() bool { return true }, FollowsLiveLeader: func() bool { return false },
+			Daemons:             func() int { return 1 },
+			UnresponsiveDaemons: func() int { return 0 }, Random: func() float64 { return 0 }, Now: time.Now,
 		})
 		rates := twrates.New(twrates.Config{
 			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}), Now: time.Now,
 		})
 		throttle := twthrottle.New(twthrottle.Config{
 			Rates: rates, Leader: func() (turmericwall.Member, bool, bool) { return turmericwall.Member{}, true, true },
-			Daemons: func() int { return 1 }, Absent: func() int { return 0 }, Now: time.Now,
+			Daemons: func() int { return 1 }, UnresponsiveDaemons: func() int { return 0 }, Now: time.Now,
 		})
 		server := twpeerhttp.NewServer(twpeerhttp.Config{
-			Heard: func(h turmericwall.Heartbeat) turmericwall.HeartbeatReply {
+			ApplyHeartbeat: func(h turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 				now := twboottime.Now()
-				proof.ConfirmEcho(now, h.Echo, h.ProofMillis)
+				proof.ConfirmEcho(now, h.Echo, h.ProofAgeMillis)
 				if age := proof.AgeMillis(now); age < -1 {
 					t.Fatalf("the proof has an age of %d ms", age)
 				}
-				quotas.TakeLevels(h.Leader.Incarnation, h.Levels)
-				rates.TakeList(h.Rates)
+				quotas.ApplyLevels(h.Leader.Incarnation, h.Levels)
+				rates.RecordPeerRates(h.Rates)
 				return turmericwall.HeartbeatReply{}
 			},
-			State: func(ask turmericwall.StateAsk) turmericwall.SharedState {
-				if ask.Joining != nil {
-					quotas.Report(
-						ask.Joining.Incarnation, time.Duration(ask.Joining.UpMillis)*time.Millisecond, ask.Joining.Uses)
+			State: func(request turmericwall.StateRequest) turmericwall.SharedState {
+				if request.Joining != nil {
+					quotas.RecordUses(
+						request.Joining.Incarnation, time.Duration(request.Joining.UptimeMillis)*time.Millisecond,
+						request.Joining.Uses)
 				}
 				return turmericwall.SharedState{}
 			},
-			Keeps: func() bool { return true },
-			Place: func(_ context.Context, ask turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-				return turmericwall.Placement{ID: ask.ID}, quotas.Charge(ask.Account, ask.Units)
+			IsLeader: func() bool { return true },
+			Place: func(_ context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
+				return turmericwall.Placement{ID: request.ID}, quotas.Charge(request.Account, request.Units)
 			},
-			Admit: func(ask turmericwall.AdmitAsk) turmericwall.AdmitReply {
-				reply := throttle.Grant(ask)
-				if reply.Granted > max(ask.Count, 0) || reply.NextMillis < 0 || reply.RetryMillis < 0 {
-					t.Fatalf("request %+v was answered by %+v", ask, reply)
+			Admit: func(request turmericwall.AdmitRequest) turmericwall.AdmitReply {
+				reply := throttle.Grant(request)
+				if reply.Granted > max(request.Count, 0) || reply.NextRequestMillis < 0 || reply.RetryMillis < 0 {
+					t.Fatalf("request %+v was answered by %+v", request, reply)
 				}
 				return reply
 			},
-			Finish: func(turmericwall.PlacementEnd) {}, Adopt: func(turmericwall.PlacedRun) {},
+			Finish: func(turmericwall.PlacementUpdate) {}, AdoptPlacedCall: func(turmericwall.PlacedCall) {},
 		})
 		request := httptest.NewRequest(http.MethodPost, "/peer/heartbeat", bytes.NewReader(body))
 		request.URL.Path = path
--- a/internal/membership/twpeerhttp/peer_test.go
+++ b/internal/membership/twpeerhttp/peer_test.go
@@ -25,9 +25,9 @@
 }
 
 // placeRequest returns a request for a placement with all fields that are sent.
-func placeRequest() turmericwall.PlaceAsk {
+func placeRequest() turmericwall.PlaceRequest {
 	now := time.Now()
-	return turmericwall.PlaceAsk{
+	return turmericwall.PlaceRequest{
 		ID: "1/0", Service: "s", Owner: "o", Zone: "z", Work: turmericwall.ModelWork{PromptTokens: 10, Subject: "x"},
 		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(2 * time.Second),
 		CallerDeadline: now.Add(3 * time.Second),
@@ -39,15 +39,15 @@
 	g := NewWithT(t)
 	want := placeRequest()
 	address := serve(t, twpeerhttp.Config{
-		Keeps: func() bool { return true },
-		Place: func(_ context.Context, got turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+		IsLeader: func() bool { return true },
+		Place: func(_ context.Context, got turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 			g.Expect(got.TargetDeadline).To(BeTemporally("~", want.TargetDeadline, 200*time.Millisecond))
 			g.Expect(got.CallerDeadline).To(BeTemporally("~", want.CallerDeadline, 200*time.Millisecond))
 			got.TargetDeadline, got.GiveUpDeadline, got.CallerDeadline = want.TargetDeadline, want.GiveUpDeadline, want.CallerDeadline
 			g.Expect(got).To(Equal(want))
 			return turmericwall.Placement{
 				Decode: turmericwall.Upstream{ID: "d"}, ReserveTokens: 7, Late: true, Reason: "r",
-				ReadDeadline: time.Now().Add(time.Second),
+				PrefillEndsAt: time.Now().Add(time.Second),
 			}, nil
 		},
 	})
@@ -55,15 +55,15 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect([]any{got.ID, got.Decode.ID, got.ReserveTokens, got.Late, got.Reason}).
 		To(Equal([]any{"1/0", "d", 7, true, "r"}))
-	g.Expect(got.ReadDeadline).To(BeTemporally("~", time.Now().Add(time.Second), 300*time.Millisecond))
+	g.Expect(got.PrefillEndsAt).To(BeTemporally("~", time.Now().Add(time.Second), 300*time.Millisecond))
 }
 
 func TestRefusalKeepsRetryTime(t *testing.T) {
 	g := NewWithT(t)
 	address := serve(t, twpeerhttp.Config{
-		Keeps: func() bool { return true },
-		Place: func(context.Context, turmericwall.PlaceAsk) (turmericwall.Placement, error) {
-			return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{
+		IsLeader: func() bool { return true },
+		Place: func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error) {
+			return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{
 				Reason: "full", RetryAt: time.Now().Add(2 * time.Second),
 			})
 		},
@@ -78,49 +78,53 @@
 // ends of placements, so its reservations would never be released.
 func TestOnlyLeaderPlacesCalls(t *testing.T) {
 	g := NewWithT(t)
-	address := serve(t, twpeerhttp.Config{Keeps: func() bool { return false }})
+	address := serve(t, twpeerhttp.Config{IsLeader: func() bool { return false }})
 	_, err := twpeerhttp.NewClient().Place(context.Background(), address, placeRequest())
 	g.Expect(err).To(MatchError(ContainSubstring("421")))
 }
 
 func TestFinishRunsHeartbeatAndStateKeepTheirFields(t *testing.T) {
 	g := NewWithT(t)
-	var ended []turmericwall.PlacementEnd
-	var adopted []turmericwall.PlacedRun
+	var ended []turmericwall.PlacementUpdate
+	var adopted []turmericwall.PlacedCall
 	me := turmericwall.HeartbeatReply{
-		Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UpMillis: 7,
+		Member: turmericwall.Member{Name: "b", Address: "b:1", Incarnation: "b1"}, UptimeMillis: 7,
 	}
 	state := turmericwall.SharedState{
 		Plan: &turmericwall.RoutePlan{Version: 4}, Upstreams: []turmericwall.Upstream{{ID: "u"}}, UpstreamsPosition: 9,
 	}
 	address := serve(t, twpeerhttp.Config{
-		Heard: func(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
+		ApplyHeartbeat: func(heartbeat turmericwall.Heartbeat) turmericwall.HeartbeatReply {
 			g.Expect(heartbeat.Term).To(BeEquivalentTo(3))
 			g.Expect(heartbeat.Changing).
-				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}}))
+				To(Equal([]turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, RemainingMillis: 70}}))
 			return me
 		},
-		State: func(ask turmericwall.StateAsk) turmericwall.SharedState {
-			g.Expect(ask.UpstreamsPosition).To(BeEquivalentTo(8))
+		State: func(request turmericwall.StateRequest) turmericwall.SharedState {
+			g.Expect(request.UpstreamsPosition).To(BeEquivalentTo(8))
 			return state
 		},
-		Finish: func(end turmericwall.PlacementEnd) { ended = append(ended, end) },
-		Adopt:  func(run turmericwall.PlacedRun) { adopted = append(adopted, run) },
+		Finish:          func(update turmericwall.PlacementUpdate) { ended = append(ended, update) },
+		AdoptPlacedCall: func(placed turmericwall.PlacedCall) { adopted = append(adopted, placed) },
 	})
 	c, ctx := twpeerhttp.NewClient(), context.Background()
-	g.Expect(c.Finish(ctx, address, []turmericwall.PlacementEnd{
-		{ID: "1", Running: true, PromptRead: true, PromptMillis: 5},
+	g.Expect(c.SendUpdates(ctx, address, []turmericwall.PlacementUpdate{
+		{ID: "1", Running: true, Prefilled: true, PrefillMillis: 5},
 	})).To(Succeed())
-	g.Expect(ended).To(Equal([]turmericwall.PlacementEnd{{ID: "1", Running: true, PromptRead: true, PromptMillis: 5}}))
-	g.Expect(c.Runs(ctx, address, []turmericwall.PlacedRun{
-		{Ask: placeRequest(), Engine: "d", AgeMillis: -40},
+	g.Expect(ended).To(
+		Equal([]turmericwall.PlacementUpdate{{ID: "1", Running: true, Prefilled: true, PrefillMillis: 5}}),
+	)
+	g.Expect(c.ReportPlacedCalls(ctx, address, []turmericwall.PlacedCall{
+		{Request: placeRequest(), Engine: "d", AgeMillis: -40},
 	})).To(Succeed())
-	g.Expect([]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Ask.ID}).To(Equal([]any{"d", int64(-40), "1/0"}))
+	g.Expect([]any{adopted[0].Engine, adopted[0].AgeMillis, adopted[0].Request.ID}).To(
+		Equal([]any{"d", int64(-40), "1/0"}))
 	got, err := c.Heartbeat(ctx, address, turmericwall.Heartbeat{
-		Term: 3, Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, LeftMillis: 70}},
+		Term:     3,
+		Changing: []turmericwall.ChangingEngine{{ID: "e", Role: turmericwall.RolePrefill, RemainingMillis: 70}},
 	})
 	g.Expect([]any{got, err}).To(Equal([]any{me, nil}))
-	received, err := c.State(ctx, address, turmericwall.StateAsk{UpstreamsPosition: 8})
+	received, err := c.FetchState(ctx, address, turmericwall.StateRequest{UpstreamsPosition: 8})
 	g.Expect([]any{received, err}).To(Equal([]any{state, nil}))
 }
 
@@ -131,7 +135,7 @@
 	}))
 	defer server.Close()
 	_, err := twpeerhttp.NewClient().
-		State(context.Background(), strings.TrimPrefix(server.URL, "http://"), turmericwall.StateAsk{})
+		FetchState(context.Background(), strings.TrimPrefix(server.URL, "http://"), turmericwall.StateRequest{})
 	g.Expect(err).To(MatchError(ContainSubstring("unpack the plan")))
 }
 
@@ -145,18 +149,20 @@
 			ID: fmt.Sprint("i-", n), Service: "s", Address: fmt.Sprint("10.0.0.1:", n), Zone: "z",
 		})
 	}
-	address := serve(t, twpeerhttp.Config{State: func(turmericwall.StateAsk) turmericwall.SharedState { return state }})
+	address := serve(
+		t, twpeerhttp.Config{State: func(turmericwall.StateRequest) turmericwall.SharedState { return state }},
+	)
 	response, err := http.Post("http://"+address+"/peer/state", "application/json", strings.NewReader("{}"))
 	g.Expect(err).NotTo(HaveOccurred())
 	body, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(body)).To(BeNumerically("<", 64<<10))
-	received, err := twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
+	received, err := twpeerhttp.NewClient().FetchState(context.Background(), address, turmericwall.StateRequest{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(received.Upstreams).To(Equal(state.Upstreams))
 	state.UpstreamsPosition, state.Upstreams = 10, state.Upstreams[:1]
-	received, err = twpeerhttp.NewClient().State(context.Background(), address, turmericwall.StateAsk{})
+	received, err = twpeerhttp.NewClient().FetchState(context.Background(), address, turmericwall.StateRequest{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(received.Upstreams).To(HaveLen(1), "a newer list is compressed anew")
 }
--- a/internal/membership/twpeerhttp/server.go
+++ b/internal/membership/twpeerhttp/server.go
@@ -19,15 +19,15 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// Config holds the functions that answer the calls. Keeps reports whether this daemon may place calls as the leader.
+// Config holds the functions that answer the calls. IsLeader reports whether this daemon may place calls as the leader.
 type Config struct {
-	Heard  func(turmericwall.Heartbeat) turmericwall.HeartbeatReply
-	State  func(turmericwall.StateAsk) turmericwall.SharedState
-	Keeps  func() bool
-	Place  func(context.Context, turmericwall.PlaceAsk) (turmericwall.Placement, error)
-	Finish func(turmericwall.PlacementEnd)
-	Adopt  func(turmericwall.PlacedRun)
-	Admit  func(turmericwall.AdmitAsk) turmericwall.AdmitReply
+	ApplyHeartbeat  func(turmericwall.Heartbeat) turmericwall.HeartbeatReply
+	State           func(turmericwall.StateRequest) turmericwall.SharedState
+	IsLeader        func() bool
+	Place           func(context.Context, turmericwall.PlaceRequest) (turmericwall.Placement, error)
+	Finish          func(turmericwall.PlacementUpdate)
+	AdoptPlacedCall func(turmericwall.PlacedCall)
+	Admit           func(turmericwall.AdmitRequest) turmericwall.AdmitReply
 }
 
 // Server is the HTTP handler of the calls from peers.
@@ -63,16 +63,16 @@
 func (s *Server) heartbeat(w http.ResponseWriter, request *http.Request) {
 	var heartbeat turmericwall.Heartbeat
 	if readJSON(w, request, &heartbeat) {
-		writeJSON(w, s.config.Heard(heartbeat))
+		writeJSON(w, s.config.ApplyHeartbeat(heartbeat))
 	}
 }
 
 func (s *Server) state(w http.ResponseWriter, request *http.Request) {
-	var ask turmericwall.StateAsk
-	if !readJSON(w, request, &ask) {
+	var stateRequest turmericwall.StateRequest
+	if !readJSON(w, request, &stateRequest) {
 		return
 	}
-	state := s.config.State(ask)
+	state := s.config.State(stateRequest)
 	answer := wireState{SharedState: state}
 	err := s.pack(&answer)
 	if err != nil {
@@ -138,15 +138,15 @@
 }
 
 func (s *Server) place(w http.ResponseWriter, request *http.Request) {
-	var ask wirePlaceRequest
-	if !readJSON(w, request, &ask) {
+	var placeRequest wirePlaceRequest
+	if !readJSON(w, request, &placeRequest) {
 		return
 	}
-	if !s.config.Keeps() {
+	if !s.config.IsLeader() {
 		http.Error(w, "this daemon is not the leader; wait for the next heartbeat", http.StatusMisdirectedRequest)
 		return
 	}
-	placement, err := s.config.Place(request.Context(), decodePlaceRequest(time.Now(), ask))
+	placement, err := s.config.Place(request.Context(), decodePlaceRequest(time.Now(), placeRequest))
 	now := time.Now()
 	var p *turmericwall.Problem
 	if errors.As(err, &p) {
@@ -159,39 +159,39 @@
 	}
 	writeJSON(w, wirePlaceReply{
 		Decode: placement.Decode, Prefill: placement.Prefill, ReserveTokens: placement.ReserveTokens,
-		ReadMillis: placement.ReadDeadline.Sub(now).Milliseconds(), Reason: placement.Reason, Late: placement.Late,
+		ReadMillis: placement.PrefillEndsAt.Sub(now).Milliseconds(), Reason: placement.Reason, Late: placement.Late,
 	})
 }
 
 func (s *Server) finish(w http.ResponseWriter, request *http.Request) {
-	var ends []turmericwall.PlacementEnd
-	if !readJSON(w, request, &ends) {
+	var updates []turmericwall.PlacementUpdate
+	if !readJSON(w, request, &updates) {
 		return
 	}
-	for _, end := range ends {
-		s.config.Finish(end)
+	for _, update := range updates {
+		s.config.Finish(update)
 	}
 	writeJSON(w, struct{}{})
 }
 
 func (s *Server) runs(w http.ResponseWriter, request *http.Request) {
-	var runs []wireRun
+	var runs []wirePlacedCall
 	if !readJSON(w, request, &runs) {
 		return
 	}
 	now := time.Now()
 	for _, r := range runs {
-		s.config.Adopt(turmericwall.PlacedRun{
-			Ask: decodePlaceRequest(now, r.Ask), Engine: r.Engine, AgeMillis: r.AgeMillis,
+		s.config.AdoptPlacedCall(turmericwall.PlacedCall{
+			Request: decodePlaceRequest(now, r.Request), Engine: r.Engine, AgeMillis: r.AgeMillis,
 		})
 	}
 	writeJSON(w, struct{}{})
 }
 
 func (s *Server) admit(w http.ResponseWriter, request *http.Request) {
-	var ask turmericwall.AdmitAsk
-	if readJSON(w, request, &ask) {
-		writeJSON(w, s.config.Admit(ask))
+	var admitRequest turmericwall.AdmitRequest
+	if readJSON(w, request, &admitRequest) {
+		writeJSON(w, s.config.Admit(admitRequest))
 	}
 }
 
--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -35,18 +35,18 @@
 	// reading is set while a read of the store is under way; it was sent at readSentAt and returns the version
 	// readVersion.
 	reading     bool
-	readSentAt  twboottime.Moment
+	readSentAt  twboottime.Instant
 	readVersion int64
 }
 
 // model simulates a store, some daemons and a leader in virtual time.
 type model struct {
-	now     twboottime.Moment
+	now     twboottime.Instant
 	daemons []*daemon
 	leader  int
 	// version is the plan in the store. Version 2 removes the key; it is acknowledged at removedAt.
 	version   int64
-	removedAt twboottime.Moment
+	removedAt twboottime.Instant
 }
 
 func newModel(daemons int) *model {
@@ -54,7 +54,7 @@
 	for i := range daemons {
 		name := fmt.Sprint("i-", i)
 		d := &daemon{name: name, version: 1, echoes: make(map[int]turmericwall.Echo)}
-		d.proof = twproof.New(twproof.Config{Incarnation: name, MaxAge: maxAge, Current: maxAge})
+		d.proof = twproof.New(twproof.Config{Incarnation: name, MaxAge: maxAge, UnlistedKeyMaxAge: maxAge})
 		d.proof.Confirm(m.now)
 		m.daemons = append(m.daemons, d)
 	}
@@ -101,7 +101,7 @@
 	if got.version <= d.version {
 		d.proof.ConfirmEcho(m.now, got.echo, got.ageMillis)
 	}
-	d.echoes[m.leader] = turmericwall.Echo{Incarnation: d.name, Moment: int64(m.now)}
+	d.echoes[m.leader] = turmericwall.Echo{Incarnation: d.name, BootTimeNanos: int64(m.now)}
 }
 
 // fetch makes a follower with an older version fetch the plan from the leader.
@@ -125,7 +125,7 @@
 		return 0, false
 	}
 	for i, d := range m.daemons {
-		if d.version < 2 && d.proof.Admits(m.now) {
+		if d.version < 2 && d.proof.AdmitsListedKey(m.now) {
 			return i, true
 		}
 	}
@@ -187,12 +187,12 @@
 				g := NewWithT(t)
 				random := rand.New(rand.NewPCG(seed, 11))
 				m := newModel(count)
-				partitionedUntil := make([]twboottime.Moment, count)
-				connectedSince := make([]twboottime.Moment, count)
+				partitionedUntil := make([]twboottime.Instant, count)
+				connectedSince := make([]twboottime.Instant, count)
 				storeUnavailable := false
 				// leaderCurrentSince is when a leader last had a proof older than 1.5 s, or when the leader last
 				// changed.
-				var leaderCurrentSince twboottime.Moment
+				var leaderCurrentSince twboottime.Instant
 				for tick := range 400 {
 					m.now = m.now.Add(50 * time.Millisecond)
 					switch {
@@ -226,7 +226,8 @@
 							m.fetch(i)
 						}
 						if m.now.Sub(max(connectedSince[i], leaderCurrentSince)) > time.Second {
-							g.Expect(d.proof.Admits(m.now)).To(BeTrue(), "daemon %d refuses at tick %d", i, tick)
+							g.Expect(d.proof.AdmitsListedKey(m.now)).To(
+								BeTrue(), "daemon %d refuses at tick %d", i, tick)
 						}
 					}
 					_, found := m.findViolation()
--- a/internal/membership/twwatch/watch_test.go
+++ b/internal/membership/twwatch/watch_test.go
@@ -144,7 +144,7 @@
 	done := make(chan error, 1)
 	w := twwatch.New(twwatch.Config{
 		Feed: f, Table: "t", Follower: &follower{}, Wait: time.Second,
-		Confirmed: func(twboottime.Moment) { confirmed.Add(1) },
+		OnConfirmed: func(twboottime.Instant) { confirmed.Add(1) },
 	})
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
@@ -173,21 +173,21 @@
 	g := NewWithT(t)
 	f := &feed{lists: []turmericwall.Snapshot{snapshot(5, 2)}, changes: []any{errors.New("connection reset")}}
 	var paused atomic.Bool
-	readElsewhere := time.Now()
+	peerReadAt := time.Now()
 	recorded := &follower{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
 		done <- twwatch.New(twwatch.Config{
 			Feed: f, Table: "t", Follower: recorded, Wait: time.Second, Paused: paused.Load,
-			ReadElsewhere: func() time.Time { return readElsewhere.Add(time.Minute) },
+			PeerReadAt: func() time.Time { return peerReadAt.Add(time.Minute) },
 		}).Run(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-done })
 	g.Eventually(recorded.allCalls).Should(Equal([]string{"reset", "unavailable"}))
 	paused.Store(true)
 	g.Eventually(recorded.allCalls, 3*time.Second).Should(Equal([]string{"reset", "unavailable", "regained"}))
-	g.Expect(recorded.observedLastRead()).To(Equal(readElsewhere.Add(time.Minute)))
+	g.Expect(recorded.observedLastRead()).To(Equal(peerReadAt.Add(time.Minute)))
 }
 
 // The store takes longer than usual for each answer. The next read must wait less for changes, so that the state gets
@@ -216,8 +216,8 @@
 	done := make(chan error, 1)
 	outcomes := make(chan error, 100)
 	w := twwatch.New(twwatch.Config{
-		Feed: f, Table: "t", Follower: recorded, Wait: time.Second, Known: func() int64 { return 7 },
-		Paused: func() bool { return !active.Load() }, Noted: func(err error) { outcomes <- err },
+		Feed: f, Table: "t", Follower: recorded, Wait: time.Second, KnownVersion: func() int64 { return 7 },
+		Paused: func() bool { return !active.Load() }, OnRead: func(err error) { outcomes <- err },
 	})
 	go func() { done <- w.Run(ctx) }()
 	defer func() { stop(); <-done }()
--- a/internal/once/twclaim/claims.go
+++ b/internal/once/twclaim/claims.go
@@ -14,7 +14,7 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/once/twattempt"
-	"github.com/turmericwall/turmericwall/internal/platform/twclear"
+	"github.com/turmericwall/turmericwall/internal/platform/twexpiry"
 )
 
 const (
@@ -42,7 +42,7 @@
 // states that its outcome is unknown, or when its owner can't state the outcome and is no longer live.
 type Claims struct {
 	config    Config
-	sweeper   *twclear.Sweeper
+	sweeper   *twexpiry.Sweeper
 	recording chan *claim
 }
 
@@ -69,7 +69,7 @@
 
 // New returns Claims. Answers are recorded only while Run runs.
 func New(config Config) *Claims {
-	sweeper := twclear.New(twclear.Config{
+	sweeper := twexpiry.New(twexpiry.Config{
 		Table: config.Table, Writer: config.Writer, Clock: config.Clock,
 		Prefixes: partitionPrefixes(), Expired: expired,
 	})
@@ -213,7 +213,7 @@
 	case turmericwall.AttemptRunning, turmericwall.AttemptDone:
 		return stillRunning(c.config.Clock.Now())
 	}
-	if own.call.Repeatable && !c.config.Peers.Live(existing.Owner) {
+	if own.call.Repeatable && !c.config.Peers.IsLive(existing.Owner) {
 		return nil
 	}
 	return outcomeUnknown(err)
@@ -223,7 +223,7 @@
 	if existing.Owner == c.config.Incarnation {
 		return c.config.Registry.State(existing.Attempt), nil
 	}
-	return c.config.Peers.Inquire(ctx, existing.Owner, existing.Attempt)
+	return c.config.Peers.QueryAttempt(ctx, existing.Owner, existing.Attempt)
 }
 
 func (c *Claims) write(ctx context.Context, held *claim) error {
@@ -263,7 +263,7 @@
 		WithOutcome(turmericwall.OutcomeUnknown).WithCause(cause)
 }
 
-// AnswerOf returns an answer that was received from an upstream.
-func AnswerOf(status int, header http.Header, body []byte) *Answer {
+// NewAnswer returns an answer that was received from an upstream.
+func NewAnswer(status int, header http.Header, body []byte) *Answer {
 	return &Answer{Status: status, Header: header, Body: body}
 }
--- a/internal/once/twforward/forwarder.go
+++ b/internal/once/twforward/forwarder.go
@@ -83,7 +83,7 @@
 			WithOutcome(turmericwall.OutcomeUnknown).WithCause(err)
 	}
 	if response.StatusCode == http.StatusServiceUnavailable {
-		f.eject(vm.Name, twbackoff.RetryAt(f.clock.Now(), response.Header))
+		f.eject(vm.Name, twbackoff.ParseRetryAfter(f.clock.Now(), response.Header))
 	}
 	return response, nil
 }
@@ -106,7 +106,7 @@
 	}
 	return nil, turmericwall.VM{}, turmericwall.NewProblem(turmericwall.KindNoUpstream,
 		fmt.Sprintf("no upstream of service %q accepts a connection", call.Service),
-		"retry at the time in Retry-After").WithRetryAt(f.clock.Now().Add(ejectionTime)).WithCause(lastErr)
+		"retry after the delay in Retry-After").WithRetryAt(f.clock.Now().Add(ejectionTime)).WithCause(lastErr)
 }
 
 func (f *Forwarder) send(
--- a/internal/operations/twdaemon/build.go
+++ b/internal/operations/twdaemon/build.go
@@ -28,7 +28,7 @@
 	"github.com/turmericwall/turmericwall/internal/placement/twleader"
 	"github.com/turmericwall/turmericwall/internal/placement/twpolicy"
 	"github.com/turmericwall/turmericwall/internal/placement/twrouter"
-	"github.com/turmericwall/turmericwall/internal/platform/twgroup"
+	"github.com/turmericwall/turmericwall/internal/platform/twbatch"
 	"github.com/turmericwall/turmericwall/internal/platform/twhttp"
 	"github.com/turmericwall/turmericwall/internal/platform/twobject"
 	"github.com/turmericwall/turmericwall/internal/platform/twtable"
@@ -54,8 +54,9 @@
 	client := twhttp.New(twhttp.Config{Address: s.Platform, Registry: d.registry})
 	table := twtable.New(client)
 	d.buildMembership(client, table, incarnation, security)
-	d.committer = twgroup.New(twgroup.Config{
-		Table: table, Registry: d.registry, Recorder: d.recorder, Daemons: func() int { return len(d.exchange.Leaders()) },
+	d.committer = twbatch.New(twbatch.Config{
+		Table: table, Registry: d.registry, Recorder: d.recorder,
+		Daemons: func() int { return len(d.exchange.EligibleLeaders()) },
 	})
 	registry := twattempt.New(incarnation)
 	d.buildDelivery(incarnation)
@@ -104,14 +105,15 @@
 	engines := twengine.New(twengine.Config{Registry: d.registry})
 	d.canceller = twcanceller.New(twcanceller.Config{Engines: engines, Clock: d.clock, Recorder: d.recorder})
 	d.leader = twleader.New(twleader.Config{
-		NewPolicy: func() turmericwall.Policy { return twpolicy.New(d.settings.Policy) },
-		Duties:    d.ledServices,
-		Links:     d.links,
-		Engines:   engines, Fleet: d.fleet, Peers: d.exchange, Holder: attemptHolder{d}, Canceller: d.canceller,
+		NewPolicy:   func() turmericwall.Policy { return twpolicy.New(d.settings.Policy) },
+		LedServices: d.ledServices,
+		Links:       d.links,
+		Engines:     engines, Fleet: d.fleet, Peers: d.exchange, Holder: attemptHolder{d}, Canceller: d.canceller,
 		Clock: d.clock, Recorder: d.recorder, Registry: d.registry,
 	})
 	d.router = twrouter.New(twrouter.Config{
-		Peers: d.exchange, Local: d.leader, Alone: d.settings.Policy != twpolicy.Leader, Clock: d.clock, Recorder: d.recorder,
+		Peers: d.exchange, Local: d.leader, LocalOnly: d.settings.Policy != twpolicy.Leader, Clock: d.clock,
+		Recorder: d.recorder,
 	})
 	d.delivery = twdelivery.New(twdelivery.Config{
 		Incarnation: incarnation, Placer: d.router, Engines: engines, Canceller: d.canceller,
@@ -123,7 +125,9 @@
 // it still wants, but is constructed before it.
 type attemptHolder struct{ d *Daemon }
 
-func (h attemptHolder) Wanted(attempts []string) []string { return h.d.delivery.Wanted(attempts) }
+func (h attemptHolder) FilterWanted(attempts []string) []string {
+	return h.d.delivery.FilterWanted(attempts)
+}
 
 func (d *Daemon) buildClaims(table turmericwall.Table, incarnation string, registry *twattempt.Registry) {
 	d.claims = twclaim.New(twclaim.Config{
--- a/internal/operations/twdaemon/daemon.go
+++ b/internal/operations/twdaemon/daemon.go
@@ -31,7 +31,7 @@
 	"github.com/turmericwall/turmericwall/internal/operations/twtrace"
 	"github.com/turmericwall/turmericwall/internal/placement/twleader"
 	"github.com/turmericwall/turmericwall/internal/placement/twrouter"
-	"github.com/turmericwall/turmericwall/internal/platform/twgroup"
+	"github.com/turmericwall/turmericwall/internal/platform/twbatch"
 )
 
 // Daemon is one router process: all components between callers and upstreams on one VM.
@@ -49,7 +49,7 @@
 
 	listeners  listeners
 	fleet      *twfleet.Fleet
-	committer  *twgroup.Committer
+	committer  *twbatch.Committer
 	documents  *twrevision.Holder
 	dialer     *twdialer.Dialer
 	exchange   *twexchange.Exchange
@@ -192,7 +192,7 @@
 // is how a new VM obtains the configuration.
 func (d *Daemon) runExchange(ctx context.Context) error {
 	_ = d.fleet.Refresh(ctx)
-	d.exchange.Meet(ctx)
+	d.exchange.ExchangeWithAll(ctx)
 	return d.exchange.Run(ctx)
 }
 
@@ -223,7 +223,7 @@
 	err := d.edge.Drain(ctx)
 	d.awaitIdle(ctx)
 	d.recorder.Record(turmericwall.EventDrainEnded).Int("inFlight", d.edge.InFlight()).
-		Int("deferrable", int64(d.ledger.Running())).Err(err).Send()
+		Int("deferrable", int64(d.ledger.RunningCount())).Err(err).Send()
 }
 
 // idlePollInterval is the time between two checks for remaining work during a drain.
@@ -233,7 +233,7 @@
 // ends.
 func (d *Daemon) awaitIdle(ctx context.Context) {
 	for ctx.Err() == nil {
-		if d.ledger.Running() == 0 && d.claims.Unrecorded() == 0 && d.canceller.Pending() == 0 {
+		if d.ledger.RunningCount() == 0 && d.claims.UnrecordedCount() == 0 && d.canceller.Pending() == 0 {
 			return
 		}
 		d.clock.Sleep(idlePollInterval)
--- a/internal/operations/twdaemon/status.go
+++ b/internal/operations/twdaemon/status.go
@@ -15,17 +15,17 @@
 		Zone:        d.settings.Zone,
 		Draining:    d.draining.Load(),
 		InFlight:    d.edge.InFlight(),
-		Attempts:    d.delivery.Live(),
-		Deferrable:  d.ledger.Running(),
+		Attempts:    d.delivery.ActiveAttempts(),
+		Deferrable:  d.ledger.RunningCount(),
 		Cancels:     d.canceller.Pending(),
-		Unrecorded:  d.claims.Unrecorded(),
+		Unrecorded:  d.claims.UnrecordedCount(),
 		Answered:    d.counterValue("requests.answered"),
 		Failed:      d.counterValue("requests.failed"),
-		Keeps:       d.ledServices(),
+		LedServices: d.ledServices(),
 	}
 	if document, ok := d.documents.Current(); ok {
 		s.Revision, s.Digest = document.Revision(), document.Digest()
-		s.Ready = !s.Draining && d.fleet.Known()
+		s.Ready = !s.Draining && d.fleet.HasList()
 	}
 	for _, heartbeat := range d.exchange.Members()[1:] {
 		s.Peers = append(s.Peers, twoperations.PeerStatus{
--- a/internal/placement/twbooks/books_test.go
+++ b/internal/placement/twallocator/allocator_test.go
@@ -1,4 +1,4 @@
-package twbooks_test
+package twallocator_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 var start = time.Unix(10_000, 0)
@@ -34,15 +34,15 @@
 	return list
 }
 
-func newAllocator(prefills, decodes int) *twbooks.Books {
-	a := twbooks.New(twbooks.DefaultTuning())
+func newAllocator(prefills, decodes int) *twallocator.Allocator {
+	a := twallocator.New(twallocator.DefaultTuning())
 	a.SetPlan(enginePlan())
 	a.SetEngines(start, engines(prefills, decodes))
 	return a
 }
 
-func placeRequest(id string, at time.Time, prompt, hint int) turmericwall.PlaceAsk {
-	return turmericwall.PlaceAsk{
+func placeRequest(id string, at time.Time, prompt, hint int) turmericwall.PlaceRequest {
+	return turmericwall.PlaceRequest{
 		ID: id, Service: "s", Owner: "o", Zone: "z",
 		Work:           turmericwall.ModelWork{PromptTokens: prompt, HintTokens: hint, MaxTokens: 6500, Subject: id},
 		TargetDeadline: at.Add(time.Second), GiveUpDeadline: at.Add(14 * time.Second),
@@ -87,7 +87,7 @@
 	a.SetEngines(start, list)
 	a.Enqueue(start, placeRequest("a", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed[0].Decode.ID).To(Equal("d01"))
-	a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: "a", Full: "d01"})
+	a.ApplyUpdate(start, turmericwall.PlacementUpdate{ID: "a", FullEngine: "d01"})
 	a.Enqueue(start, placeRequest("b", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed).To(BeEmpty())
 	a.Decide(start.Add(200 * time.Millisecond))
@@ -129,7 +129,7 @@
 
 // Guards against a retry that counts as a new call: its answer is late in any case, and while engines are nearly full
 // it would take the memory of a call that can be on time.
-func TestACallerThatComesBackLateGivesWay(t *testing.T) {
+func TestLateRetryDoesNotDisplaceCall(t *testing.T) {
 	g := NewWithT(t)
 	a := newAllocator(2, 1)
 	for i := range 7 {
@@ -155,10 +155,10 @@
 	a.Enqueue(start, placeRequest("a", start, 2000, 3000))
 	g.Expect(a.Decide(start).Placed).To(HaveLen(1), "an idle engine has no streams to delay")
 	later := start.Add(300 * time.Millisecond)
-	a.ApplyUpdate(later, turmericwall.PlacementEnd{ID: "a", Running: true, PromptRead: true, PromptMillis: 100})
+	a.ApplyUpdate(later, turmericwall.PlacementUpdate{ID: "a", Running: true, Prefilled: true, PrefillMillis: 100})
 	for i := range 4 {
-		a.Adopt(later, turmericwall.PlacedRun{
-			Ask: placeRequest(fmt.Sprint("other", i), later, 2000, 3000), Engine: "d00", AgeMillis: 200,
+		a.Adopt(later, turmericwall.PlacedCall{
+			Request: placeRequest(fmt.Sprint("other", i), later, 2000, 3000), Engine: "d00", AgeMillis: 200,
 		})
 	}
 	a.Enqueue(later, placeRequest("long", later, 9000, 3000))
@@ -183,8 +183,8 @@
 		a.Enqueue(at, slow)
 		a.Decide(at)
 		at = at.Add(2 * time.Second)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, PromptRead: true, PromptMillis: 2000})
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id, Running: true, Prefilled: true, PrefillMillis: 2000})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id})
 	}
 	a.Enqueue(at, placeRequest("now", at, 5000, 300))
 	g.Expect(a.Decide(at).Placed).To(BeEmpty(), "the engine is slow")
@@ -203,8 +203,8 @@
 		a.Enqueue(at, placeRequest(id, at, 5000, 300))
 		g.Expect(a.Decide(at).Placed).To(HaveLen(1))
 		at = at.Add(2 * time.Second)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id, Running: true, PromptRead: true, PromptMillis: 2000})
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: id})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id, Running: true, Prefilled: true, PrefillMillis: 2000})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: id})
 	}
 }
 
@@ -251,18 +251,18 @@
 	g := NewWithT(t)
 	a := newAllocator(1, 1)
 	for i := range 8 {
-		a.Adopt(start, turmericwall.PlacedRun{
-			Ask: placeRequest(fmt.Sprintf("r%d", i), start, 8000, 6000), Engine: "d00", AgeMillis: 100,
+		a.Adopt(start, turmericwall.PlacedCall{
+			Request: placeRequest(fmt.Sprintf("r%d", i), start, 8000, 6000), Engine: "d00", AgeMillis: 100,
 		})
 	}
-	a.Adopt(start, turmericwall.PlacedRun{Ask: placeRequest("x", start, 8000, 6000), Engine: "unknown"})
+	a.Adopt(start, turmericwall.PlacedCall{Request: placeRequest("x", start, 8000, 6000), Engine: "unknown"})
 	a.Enqueue(start, placeRequest("a", start, 8000, 6000))
 	g.Expect(a.Decide(start).Placed).To(BeEmpty())
 }
 
 // simulation replays a load on engines with fixed prefill and decode speeds and counts the outcomes.
 type simulation struct {
-	allocator     *twbooks.Books
+	allocator     *twallocator.Allocator
 	now           time.Time
 	prefillEndsAt map[string]time.Time
 	startedAt     map[string]time.Time
@@ -354,8 +354,8 @@
 		}
 		sim.heldPrompts[e.engine][e.id] = float64(e.work.PromptTokens)
 		sim.startedAt[e.id] = e.at
-		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementEnd{
-			ID: e.id, Running: true, PromptRead: true, PromptMillis: 100,
+		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementUpdate{
+			ID: e.id, Running: true, Prefilled: true, PrefillMillis: 100,
 		})
 		sim.events = append(sim.events, event{
 			at:   e.at.Add(time.Duration(float64(sim.answerTokens[e.id])/decodeSpeed) * time.Millisecond),
@@ -364,7 +364,7 @@
 		return
 	}
 	delete(sim.heldPrompts[e.engine], e.id)
-	sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementEnd{
+	sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementUpdate{
 		ID: e.id, AnswerTokens: sim.answerTokens[e.id], AnswerMillis: int64(float64(sim.answerTokens[e.id]) / decodeSpeed),
 	})
 	sim.decide()
@@ -374,7 +374,7 @@
 func (sim *simulation) reportPauses(engine string) {
 	for id := range sim.heldPrompts[engine] {
 		sim.paused[id] = true
-		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementEnd{ID: id, Running: true, Paused: true})
+		sim.allocator.ApplyUpdate(sim.now, turmericwall.PlacementUpdate{ID: id, Running: true, EventGapExceeded: true})
 	}
 }
 
@@ -451,18 +451,18 @@
 	for i := range 20 {
 		for _, engine := range []string{"d00", "d01"} {
 			id := fmt.Sprintf("%s-%d", engine, i)
-			a.Adopt(now, turmericwall.PlacedRun{Ask: placeRequest(id, now, 5000, 3000), Engine: engine})
+			a.Adopt(now, turmericwall.PlacedCall{Request: placeRequest(id, now, 5000, 3000), Engine: engine})
 			took := int64(3000)
 			if engine == "d00" {
 				took = 4500
 			}
-			a.ApplyUpdate(now, turmericwall.PlacementEnd{ID: id, AnswerTokens: 3000, AnswerMillis: took})
+			a.ApplyUpdate(now, turmericwall.PlacementUpdate{ID: id, AnswerTokens: 3000, AnswerMillis: took})
 		}
 	}
 	for _, engine := range []string{"d00", "d01"} {
 		for i := range 5 {
-			a.Adopt(now, turmericwall.PlacedRun{
-				Ask: placeRequest(fmt.Sprintf("%s+%d", engine, i), now, 5000, 3000), Engine: engine,
+			a.Adopt(now, turmericwall.PlacedCall{
+				Request: placeRequest(fmt.Sprintf("%s+%d", engine, i), now, 5000, 3000), Engine: engine,
 			})
 		}
 	}
@@ -484,7 +484,9 @@
 	a.Enqueue(start, placeRequest("a", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed[0].Decode.ID).To(Equal("d03"))
 	for i := range 4 {
-		a.Adopt(start, turmericwall.PlacedRun{Ask: placeRequest(fmt.Sprintf("full%d", i), start, 8000, 4000), Engine: "d03"})
+		a.Adopt(start, turmericwall.PlacedCall{
+			Request: placeRequest(fmt.Sprintf("full%d", i), start, 8000, 4000), Engine: "d03",
+		})
 	}
 	a.Enqueue(start, placeRequest("b", start, 5000, 3000))
 	g.Expect(a.Decide(start).Placed[0].Decode.ID).NotTo(Equal("d03"), "free memory outweighs the transfer between zones")
--- a/internal/placement/twbooks/bench_test.go
+++ b/internal/placement/twallocator/bench_test.go
@@ -1,4 +1,4 @@
-package twbooks_test
+package twallocator_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 // BenchmarkDecide15Engines makes one decision after the end of one call, while 15 decode engines are full and 60 calls
@@ -20,15 +20,16 @@
 func BenchmarkDecide50Engines(b *testing.B) { benchmarkDecide(b, 50, 9) }
 
 func benchmarkDecide(b *testing.B, decodes, runs int) {
-	tuning := twbooks.DefaultTuning()
+	tuning := twallocator.DefaultTuning()
 	tuning.MaxWaitMillis = 1e7
-	allocator := twbooks.New(tuning)
+	allocator := twallocator.New(tuning)
 	allocator.SetPlan(enginePlan())
 	allocator.SetEngines(start, engines(3, decodes))
 	id := func(i, j int) string { return fmt.Sprintf("r%d-%d", i, j) }
 	adoptRun := func(i, j int) {
-		allocator.Adopt(start, turmericwall.PlacedRun{
-			Ask: placeRequest(id(i, j), start, 8000, 3500), Engine: fmt.Sprintf("d%02d", i), AgeMillis: int64(100 * j),
+		allocator.Adopt(start, turmericwall.PlacedCall{
+			Request: placeRequest(id(i, j), start, 8000, 3500), Engine: fmt.Sprintf("d%02d", i),
+			AgeMillis: int64(100 * j),
 		})
 	}
 	for i := range decodes {
@@ -45,7 +46,7 @@
 	n := 0
 	for b.Loop() {
 		n++
-		allocator.ApplyUpdate(start, turmericwall.PlacementEnd{ID: id(n%decodes, n%runs)})
+		allocator.ApplyUpdate(start, turmericwall.PlacementUpdate{ID: id(n%decodes, n%runs)})
 		adoptRun(n%decodes, n%runs)
 		allocator.Decide(start)
 	}
--- a/internal/placement/twbooks/kept_test.go
+++ b/internal/placement/twallocator/promptcache_test.go
@@ -1,4 +1,4 @@
-package twbooks_test
+package twallocator_test
 
 import (
 	"fmt"
@@ -8,26 +8,28 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 // allocatorAfterCrash returns an allocator whose engines answered calls of the given number of callers until their
 // daemon was killed. Their first events arrived at start.
-func allocatorAfterCrash(g *WithT, callers int) *twbooks.Books {
+func allocatorAfterCrash(g *WithT, callers int) *twallocator.Allocator {
 	a := newAllocator(1, 4)
 	for i := range callers {
 		call := placeRequest(fmt.Sprint("c", i), start, 5000, 2000)
 		call.Owner = "killed"
 		a.Enqueue(start, call)
 		g.Expect(a.Decide(start).Placed).To(HaveLen(1))
-		a.ApplyUpdate(start, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
+		a.ApplyUpdate(
+			start, turmericwall.PlacementUpdate{ID: call.ID, Running: true, Prefilled: true, PrefillMillis: 100},
+		)
 	}
 	a.ReleaseOwner("killed")
 	return a
 }
 
 // retryOf returns the second attempt of a caller, with a new id and the same deadline.
-func retryOf(i int, at time.Time) turmericwall.PlaceAsk {
+func retryOf(i int, at time.Time) turmericwall.PlaceRequest {
 	again := placeRequest(fmt.Sprint("again", i), at, 5000, 2000)
 	again.Work.Subject, again.CallerDeadline = fmt.Sprint("c", i), start.Add(13*time.Second)
 	return again
@@ -51,7 +53,7 @@
 			continue
 		}
 		g.Expect(p.Prefill.ID).To(BeEmpty())
-		g.Expect(p.ReadDeadline.Sub(at)).To(BeNumerically("<", 50*time.Millisecond))
+		g.Expect(p.PrefillEndsAt.Sub(at)).To(BeNumerically("<", 50*time.Millisecond))
 	}
 }
 
@@ -83,14 +85,16 @@
 		if placed[0].Prefill.ID != "" {
 			prefilledElsewhere++
 		}
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID, Running: true, PromptRead: true, PromptMillis: 240})
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: placed[0].ID})
+		a.ApplyUpdate(
+			at, turmericwall.PlacementUpdate{ID: placed[0].ID, Running: true, Prefilled: true, PrefillMillis: 240},
+		)
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: placed[0].ID})
 		at = at.Add(300 * time.Millisecond)
 	}
 	g.Expect(prefilledElsewhere).To(BeNumerically(">=", 4))
 	at = at.Add(11 * time.Second)
 	a.RecordCachedPrompts(at, turmericwall.UpstreamKey{ID: "d00"},
-		[]turmericwall.KeptPrompt{{Subject: "later", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "later", Tokens: 4900}})
 	again := placeRequest("later", at, 5000, 2000)
 	a.Enqueue(at, again)
 	g.Expect(a.Decide(at).Placed[0].Prefill.ID).To(BeEmpty(), "the cache is used again after the interval")
@@ -102,9 +106,9 @@
 	g := NewWithT(t)
 	a := newAllocator(1, 4)
 	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "d02"},
-		[]turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "c0", Tokens: 4900}})
 	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "gone"},
-		[]turmericwall.KeptPrompt{{Subject: "c1", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "c1", Tokens: 4900}})
 	at := start.Add(200 * time.Millisecond)
 	a.Enqueue(at, retryOf(0, at))
 	a.Enqueue(at, retryOf(1, at))
@@ -122,15 +126,15 @@
 	g := NewWithT(t)
 	a := newAllocator(1, 1)
 	a.RecordCachedPrompts(start, turmericwall.UpstreamKey{ID: "d00"},
-		[]turmericwall.KeptPrompt{{Subject: "c0", Tokens: 4900}})
+		[]turmericwall.CachedPrompt{{Subject: "c0", Tokens: 4900}})
 	at := start
 	for i := range 12 {
 		call := placeRequest(fmt.Sprint("other", i), at, 8000, 1000)
 		a.Enqueue(at, call)
 		g.Expect(a.Decide(at).Placed).To(HaveLen(1))
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID, Running: true, PromptRead: true, PromptMillis: 100})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: call.ID, Running: true, Prefilled: true, PrefillMillis: 100})
 		at = at.Add(300 * time.Millisecond)
-		a.ApplyUpdate(at, turmericwall.PlacementEnd{ID: call.ID})
+		a.ApplyUpdate(at, turmericwall.PlacementUpdate{ID: call.ID})
 	}
 	a.Enqueue(at, retryOf(0, at))
 	d := a.Decide(at)
--- a/internal/placement/twbooks/shortage.go
+++ b/internal/placement/twallocator/shortage.go
@@ -1,4 +1,4 @@
-package twbooks
+package twallocator
 
 import (
 	"time"
@@ -37,16 +37,18 @@
 // hasEnded reports whether there was no shortage for minSurplusSpan.
 func (s *shortage) hasEnded(now time.Time) bool { return now.Sub(s.lastAt) > minSurplusSpan }
 
-// Need returns the shortage and surplus of each role and the mean cost of a call.
-func (a *Books) Need(now time.Time) turmericwall.EngineNeed {
-	need := turmericwall.EngineNeed{
-		Busy:    a.Busy(),
-		Readers: turmericwall.RoleNeed{Short: a.prefillShortage.isLasting(now), Spare: a.prefillShortage.hasEnded(now)},
-		Answerers: turmericwall.RoleNeed{
-			Short: a.decodeShortage.isLasting(now),
-			Spare: a.decodeShortage.hasEnded(now) && a.newDecisionState(now).memoryFill() < maxSurplusFill,
+// EngineDemand returns the shortage and surplus of each role and the mean cost of a call.
+func (a *Allocator) EngineDemand(now time.Time) turmericwall.EngineDemand {
+	demand := turmericwall.EngineDemand{
+		Busy: a.Busy(),
+		Prefill: turmericwall.RoleDemand{
+			Shortage: a.prefillShortage.isLasting(now), Surplus: a.prefillShortage.hasEnded(now),
+		},
+		Decode: turmericwall.RoleDemand{
+			Shortage: a.decodeShortage.isLasting(now),
+			Surplus:  a.decodeShortage.hasEnded(now) && a.newDecisionState(now).memoryFill() < maxSurplusFill,
 		},
 	}
-	need.Cost, need.Known = a.cost.Mean(a.bestPrefillSpeed)
-	return need
+	demand.Cost, demand.CostKnown = a.cost.Mean(a.bestPrefillSpeed)
+	return demand
 }
--- a/internal/placement/twcoordinator/coordinator.go
+++ b/internal/placement/twcoordinator/coordinator.go
@@ -10,21 +10,21 @@
 	"time"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 )
 
 // Config holds the inputs of a coordinator.
 type Config struct {
 	// Tuning is passed to the allocator of each service.
-	Tuning twbooks.Tuning
+	Tuning twallocator.Tuning
 	// Upstreams returns the known upstreams of a service.
 	Upstreams func(service string) []turmericwall.Upstream
-	// Away reports whether an engine is changing its role and takes no calls.
-	Away func(now time.Time, engine turmericwall.Upstream) bool
-	// Open reports whether an engine accepts calls now.
-	Open func(engine turmericwall.UpstreamKey) bool
-	// Keeping reports whether this daemon is the leader, which places the calls of all daemons.
-	Keeping func() bool
+	// ChangingRole reports whether an engine is changing its role and takes no calls.
+	ChangingRole func(now time.Time, engine turmericwall.Upstream) bool
+	// AcceptsCalls reports whether an engine accepts calls now.
+	AcceptsCalls func(engine turmericwall.UpstreamKey) bool
+	// IsLeader reports whether this daemon is the leader, which places the calls of all daemons.
+	IsLeader func() bool
 	// Service returns the operator's plan of a service.
 	Service func(service string) (turmericwall.ServicePlan, bool)
 	// Quotas is charged for each call that is placed here.
@@ -46,7 +46,7 @@
 
 // serviceState is one service's allocator and the calls that wait for a decision.
 type serviceState struct {
-	allocator *twbooks.Books
+	allocator *twallocator.Allocator
 	pending   map[string]chan decision
 	timer     *time.Timer
 	// lastDecisionAt is when the allocator last decided.
@@ -66,7 +66,7 @@
 // decision is the outcome for one call; refusal is nil when the call was placed.
 type decision struct {
 	placement turmericwall.Placement
-	refusal   *twbooks.Refusal
+	refusal   *twallocator.Refusal
 }
 
 // New returns a coordinator without allocators. A service's allocator is created with its first call.
@@ -76,7 +76,7 @@
 
 // Place charges the call to its account's quota and blocks until the call is placed or refused, or ctx ends. The error
 // is a *Problem. The units of a call that was not placed are refunded.
-func (c *Coordinator) Place(ctx context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (c *Coordinator) Place(ctx context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	if err := c.charge(request); err != nil {
 		return turmericwall.Placement{}, err
 	}
@@ -88,19 +88,19 @@
 }
 
 // charge takes the call's units from its account's quota. Without a leader this daemon takes them from its own share.
-func (c *Coordinator) charge(request turmericwall.PlaceAsk) error {
+func (c *Coordinator) charge(request turmericwall.PlaceRequest) error {
 	switch {
 	case request.Units <= 0:
 		return nil
-	case c.config.Keeping():
+	case c.config.IsLeader():
 		return c.config.Quotas.Charge(request.Account, request.Units)
 	default:
-		return c.config.Quotas.ChargeAlone(request.Account, request.Units)
+		return c.config.Quotas.ChargeLocally(request.Account, request.Units)
 	}
 }
 
 // settleCharge refunds the units of a call that was not placed, and records those of a placed one.
-func (c *Coordinator) settleCharge(request turmericwall.PlaceAsk, err error) {
+func (c *Coordinator) settleCharge(request turmericwall.PlaceRequest, err error) {
 	if err != nil {
 		c.config.Quotas.Refund(request.Account, request.Units)
 		return
@@ -111,21 +111,21 @@
 }
 
 // refund refunds the units of a placed call that no engine ran.
-func (c *Coordinator) refund(end turmericwall.PlacementEnd) {
-	if end.Running {
+func (c *Coordinator) refund(update turmericwall.PlacementUpdate) {
+	if update.Running {
 		return
 	}
 	c.mu.Lock()
-	entry, ok := c.charges[end.ID]
-	delete(c.charges, end.ID)
+	entry, ok := c.charges[update.ID]
+	delete(c.charges, update.ID)
 	c.mu.Unlock()
-	if ok && end.NotRun {
+	if ok && update.NotRun {
 		c.config.Quotas.Refund(entry.account, entry.units)
 	}
 }
 
 func (c *Coordinator) awaitDecision(
-	ctx context.Context, request turmericwall.PlaceAsk,
+	ctx context.Context, request turmericwall.PlaceRequest,
 ) (turmericwall.Placement, error) {
 	reply := c.enqueue(request)
 	select {
@@ -134,24 +134,24 @@
 	case <-ctx.Done():
 		c.withdraw(request)
 		return turmericwall.Placement{}, turmericwall.NewProblem(turmericwall.KindCancelled,
-			"the caller disconnected or its deadline passed", "retry the call")
+			"the caller left or its time is over", "call again")
 	}
 }
 
-// Finish applies a report on a placed call and makes the decisions that it allows.
-func (c *Coordinator) Finish(end turmericwall.PlacementEnd) {
-	c.refund(end)
+// ApplyUpdate applies a report on a placed call and makes the decisions that it allows.
+func (c *Coordinator) ApplyUpdate(update turmericwall.PlacementUpdate) {
+	c.refund(update)
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.service(end.Service)
-	c.refreshInputs(now, end.Service, s)
-	s.allocator.ApplyUpdate(now, end)
-	c.decide(now, end.Service, s)
+	s := c.service(update.Service)
+	c.refreshInputs(now, update.Service, s)
+	s.allocator.ApplyUpdate(now, update)
+	c.decide(now, update.Service, s)
 }
 
-// Lost releases the calls of a daemon that has terminated.
-func (c *Coordinator) Lost(owner string) {
+// ReleaseOwner releases the calls of a daemon that has terminated.
+func (c *Coordinator) ReleaseOwner(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.services {
@@ -160,17 +160,19 @@
 }
 
 // Adopt adds a call that was placed by another daemon.
-func (c *Coordinator) Adopt(run turmericwall.PlacedRun) {
+func (c *Coordinator) Adopt(placed turmericwall.PlacedCall) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.service(run.Ask.Service)
-	c.refreshInputs(now, run.Ask.Service, s)
-	s.allocator.Adopt(now, run)
+	s := c.service(placed.Request.Service)
+	c.refreshInputs(now, placed.Request.Service, s)
+	s.allocator.Adopt(now, placed)
 }
 
-// Keeps records the cached prompts that an engine reports.
-func (c *Coordinator) Keeps(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt) {
+// RecordCachedPrompts records the cached prompts that an engine reports.
+func (c *Coordinator) RecordCachedPrompts(
+	service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt,
+) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,8 +181,8 @@
 	s.allocator.RecordCachedPrompts(now, engine, prompts)
 }
 
-// Keep releases the calls of all daemons but this one, when it is no longer the leader.
-func (c *Coordinator) Keep(owner string) {
+// ReleaseOtherOwners releases the calls of all daemons but this one, when it is no longer the leader.
+func (c *Coordinator) ReleaseOtherOwners(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.services {
@@ -209,15 +211,15 @@
 	return c.service(service).allocator.Waiting()
 }
 
-// Need returns the shortage and surplus of engines of each role for the service's calls.
-func (c *Coordinator) Need(service string) turmericwall.EngineNeed {
+// EngineDemand returns the shortage and surplus of engines of each role for the service's calls.
+func (c *Coordinator) EngineDemand(service string) turmericwall.EngineDemand {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.service(service).allocator.Need(now)
+	return c.service(service).allocator.EngineDemand(now)
 }
 
-func (c *Coordinator) enqueue(request turmericwall.PlaceAsk) <-chan decision {
+func (c *Coordinator) enqueue(request turmericwall.PlaceRequest) <-chan decision {
 	now := time.Now()
 	reply := make(chan decision, 1)
 	c.mu.Lock()
@@ -229,7 +231,7 @@
 	return reply
 }
 
-func (c *Coordinator) withdraw(request turmericwall.PlaceAsk) {
+func (c *Coordinator) withdraw(request turmericwall.PlaceRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(request.Service)
@@ -285,7 +287,7 @@
 	if plan, ok := c.config.Service(service); ok && plan.Engine != nil {
 		s.allocator.SetPlan(*plan.Engine)
 	}
-	leading := c.config.Keeping()
+	leading := c.config.IsLeader()
 	if leading && !c.wasLeader {
 		c.decideFrom = now.Add(takeoverDelay)
 	}
@@ -300,7 +302,7 @@
 	list := c.config.Upstreams(service)
 	copied := false
 	for i, u := range list {
-		changing, accepting := c.config.Away(now, u), c.config.Open(u.Key())
+		changing, accepting := c.config.ChangingRole(now, u), c.config.AcceptsCalls(u.Key())
 		if !changing && accepting {
 			continue
 		}
@@ -329,7 +331,7 @@
 func (c *Coordinator) service(name string) *serviceState {
 	s, ok := c.services[name]
 	if !ok {
-		s = &serviceState{allocator: twbooks.New(c.config.Tuning), pending: make(map[string]chan decision)}
+		s = &serviceState{allocator: twallocator.New(c.config.Tuning), pending: make(map[string]chan decision)}
 		c.services[name] = s
 	}
 	return s
@@ -345,11 +347,11 @@
 	reply <- result
 }
 
-func refusalProblem(r *twbooks.Refusal) error {
+func refusalProblem(r *twallocator.Refusal) error {
 	if r == nil {
 		return nil
 	}
-	return turmericwall.Refused(turmericwall.Refusal{
-		Attempt: r.ID, Reason: r.Reason, RetryAt: r.RetryAt, Never: r.Permanent,
+	return turmericwall.NewRefusalProblem(turmericwall.Refusal{
+		Attempt: r.ID, Reason: r.Reason, RetryAt: r.RetryAt, Permanent: r.Permanent,
 	})
 }
--- a/internal/placement/twcoordinator/coordinator_test.go
+++ b/internal/placement/twcoordinator/coordinator_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/turmericwall/turmericwall"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 	"github.com/turmericwall/turmericwall/internal/placement/twcoordinator"
 )
 
@@ -21,19 +21,19 @@
 		{ID: "p1", Slots: 16, Role: turmericwall.RolePrefill},
 	}
 	return twcoordinator.New(twcoordinator.Config{
-		Tuning: twbooks.DefaultTuning(), Upstreams: func(string) []turmericwall.Upstream { return list },
+		Tuning: twallocator.DefaultTuning(), Upstreams: func(string) []turmericwall.Upstream { return list },
 		Service: func(name string) (turmericwall.ServicePlan, bool) {
 			engine := turmericwall.EnginePlan{Slots: 16, MemoryTokens: 76_000, TokensPerEvent: 50, MaxReservationMillis: 2000}
 			return turmericwall.ServicePlan{Name: name, Engine: &engine}, true
 		},
-		Away: func(time.Time, turmericwall.Upstream) bool { return false }, Keeping: leading.Load,
-		Open: func(turmericwall.UpstreamKey) bool { return true },
+		ChangingRole: func(time.Time, turmericwall.Upstream) bool { return false }, IsLeader: leading.Load,
+		AcceptsCalls: func(turmericwall.UpstreamKey) bool { return true },
 	})
 }
 
-func placeRequest(id string) turmericwall.PlaceAsk {
+func placeRequest(id string) turmericwall.PlaceRequest {
 	now := time.Now()
-	return turmericwall.PlaceAsk{
+	return turmericwall.PlaceRequest{
 		ID: id, Service: "s", Owner: "o", Work: turmericwall.ModelWork{PromptTokens: 5000, HintTokens: 3000, MaxTokens: 6500},
 		TargetDeadline: now.Add(2 * time.Second), GiveUpDeadline: now.Add(9 * time.Second),
 		CallerDeadline: now.Add(9 * time.Second), EventGapMillis: 300,
@@ -56,7 +56,7 @@
 	}()
 	g.Eventually(func() int { return c.Waiting("s") }, time.Second, time.Millisecond).Should(Equal(1))
 	for i := range 6 {
-		c.Adopt(turmericwall.PlacedRun{Ask: placeRequest(fmt.Sprint("theirs", i)), Engine: "d1"})
+		c.Adopt(turmericwall.PlacedCall{Request: placeRequest(fmt.Sprint("theirs", i)), Engine: "d1"})
 	}
 	var placement turmericwall.Placement
 	g.Eventually(placed, 3*time.Second).Should(Receive(&placement))
@@ -71,6 +71,6 @@
 	placement, err := c.Place(context.Background(), placeRequest("mine"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(placement.Prefill.ID).To(Equal("p1"))
-	c.Finish(turmericwall.PlacementEnd{ID: "mine", Service: "s"})
-	g.Expect(c.Need("s").Busy).To(BeFalse())
+	c.ApplyUpdate(turmericwall.PlacementUpdate{ID: "mine", Service: "s"})
+	g.Expect(c.EngineDemand("s").Busy).To(BeFalse())
 }
--- a/internal/placement/twdelegate/delegate.go
+++ b/internal/placement/twdelegate/delegate.go
@@ -26,8 +26,8 @@
 
 // Config holds the dependencies of a delegate.
 type Config struct {
-	// Own is this daemon's coordinator. It places the calls while this daemon is the leader or while there is none.
-	Own   *twcoordinator.Coordinator
+	// Local is this daemon's coordinator. It places the calls while this daemon is the leader or while there is none.
+	Local *twcoordinator.Coordinator
 	Peers turmericwall.PeerClient
 	// Leader returns the live leader; self is set when it is this daemon, ok when there is one.
 	Leader   func() (leader turmericwall.Member, self, ok bool)
@@ -41,16 +41,16 @@
 	mu     sync.Mutex
 	// placedCalls are this daemon's placed calls by id, to be reported to a new leader.
 	placedCalls map[string]*placedCall
-	// pendingEnds are the reports on calls that have not been sent to the leader.
-	pendingEnds []turmericwall.PlacementEnd
-	wake        chan struct{}
+	// pendingUpdates are the reports on calls that have not been sent to the leader.
+	pendingUpdates []turmericwall.PlacementUpdate
+	wake           chan struct{}
 	// informedLeader is the leader that has received the placed calls.
 	informedLeader turmericwall.Member
 }
 
 // placedCall is a call that has not ended yet.
 type placedCall struct {
-	request turmericwall.PlaceAsk
+	request turmericwall.PlaceRequest
 	engine  string
 	// prefillEndsAt is when the prefill is expected to end, and once it has ended, when that was.
 	prefillEndsAt time.Time
@@ -65,7 +65,7 @@
 
 // Place requests the placement from the leader, and from this daemon's coordinator while no leader answers. A refusal
 // by the leader is final. The error is a *Problem.
-func (d *Delegate) Place(ctx context.Context, request turmericwall.PlaceAsk) (turmericwall.Placement, error) {
+func (d *Delegate) Place(ctx context.Context, request turmericwall.PlaceRequest) (turmericwall.Placement, error) {
 	leader, self, ok := d.config.Leader()
 	if ok && !self {
 		placement, err := d.placeAtLeader(ctx, leader, request)
@@ -76,13 +76,13 @@
 		if ctx.Err() != nil {
 			d.withdraw(request)
 			return turmericwall.Placement{}, turmericwall.NewProblem(turmericwall.KindCancelled,
-				"the caller disconnected or its deadline passed", "retry the call").WithCause(err)
+				"the caller left or its time is over", "call again").WithCause(err)
 		}
 		d.withdraw(request)
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
 			Str("request", request.ID).Str("leader", leader.Name).Err(err).Send()
 	}
-	placement, err := d.config.Own.Place(ctx, request)
+	placement, err := d.config.Local.Place(ctx, request)
 	if err == nil {
 		d.recordPlaced(request, placement)
 		if !ok || !self {
@@ -92,19 +92,19 @@
 	return placement, err
 }
 
-// Finish applies a report on a placed call locally and queues it for the leader; it never blocks on the network.
-func (d *Delegate) Finish(end turmericwall.PlacementEnd) {
-	d.config.Own.Finish(end)
+// ApplyUpdate applies a report on a placed call locally and queues it for the leader; it never blocks on the network.
+func (d *Delegate) ApplyUpdate(update turmericwall.PlacementUpdate) {
+	d.config.Local.ApplyUpdate(update)
 	d.mu.Lock()
-	if run, ok := d.placedCalls[end.ID]; ok && end.Running && end.PromptRead {
+	if run, ok := d.placedCalls[update.ID]; ok && update.Running && update.Prefilled {
 		run.started = true
 		run.prefillEndsAt = time.Now()
 	}
-	if !end.Running {
-		delete(d.placedCalls, end.ID)
+	if !update.Running {
+		delete(d.placedCalls, update.ID)
 	}
-	if len(d.pendingEnds) < maxPendingEnds {
-		d.pendingEnds = append(d.pendingEnds, end)
+	if len(d.pendingUpdates) < maxPendingEnds {
+		d.pendingUpdates = append(d.pendingUpdates, update)
 	}
 	d.mu.Unlock()
 	select {
@@ -129,7 +129,7 @@
 		}
 		if self {
 			d.mu.Lock()
-			d.pendingEnds = nil
+			d.pendingUpdates = nil
 			d.informedLeader = leader
 			d.mu.Unlock()
 			continue
@@ -147,7 +147,7 @@
 // placeAtLeader requests the placement from the leader. The request is cancelled as soon as the leader is no longer
 // live.
 func (d *Delegate) placeAtLeader(
-	ctx context.Context, leader turmericwall.Member, request turmericwall.PlaceAsk,
+	ctx context.Context, leader turmericwall.Member, request turmericwall.PlaceRequest,
 ) (turmericwall.Placement, error) {
 	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -158,8 +158,8 @@
 		return placement, err
 	}
 	d.recordPlaced(request, placement)
-	d.config.Own.Adopt(turmericwall.PlacedRun{
-		Ask: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.ReadDeadline).Milliseconds(),
+	d.config.Local.Adopt(turmericwall.PlacedCall{
+		Request: request, Engine: placement.Decode.ID, AgeMillis: -time.Until(placement.PrefillEndsAt).Milliseconds(),
 	})
 	return placement, nil
 }
@@ -185,17 +185,17 @@
 	return func() { close(done) }
 }
 
-func (d *Delegate) recordPlaced(request turmericwall.PlaceAsk, placement turmericwall.Placement) {
+func (d *Delegate) recordPlaced(request turmericwall.PlaceRequest, placement turmericwall.Placement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placedCalls[request.ID] = &placedCall{
-		request: request, engine: placement.Decode.ID, prefillEndsAt: placement.ReadDeadline,
+		request: request, engine: placement.Decode.ID, prefillEndsAt: placement.PrefillEndsAt,
 	}
 }
 
 // withdraw reports the end of a call whose request got no answer, since the leader may have placed it.
-func (d *Delegate) withdraw(request turmericwall.PlaceAsk) {
-	d.Finish(turmericwall.PlacementEnd{ID: request.ID, Service: request.Service})
+func (d *Delegate) withdraw(request turmericwall.PlaceRequest) {
+	d.ApplyUpdate(turmericwall.PlacementUpdate{ID: request.ID, Service: request.Service})
 }
 
 // reportPlacedCalls sends this daemon's placed calls to a new leader once.
@@ -207,16 +207,16 @@
 		d.mu.Unlock()
 		return
 	}
-	runs := make([]turmericwall.PlacedRun, 0, len(d.placedCalls))
+	placedCalls := make([]turmericwall.PlacedCall, 0, len(d.placedCalls))
 	for _, run := range d.placedCalls {
-		runs = append(runs, turmericwall.PlacedRun{
-			Ask: run.request, Engine: run.engine, AgeMillis: time.Since(run.prefillEndsAt).Milliseconds(),
+		placedCalls = append(placedCalls, turmericwall.PlacedCall{
+			Request: run.request, Engine: run.engine, AgeMillis: time.Since(run.prefillEndsAt).Milliseconds(),
 		})
 	}
 	d.mu.Unlock()
-	if err := d.config.Peers.Runs(ctx, leader.Address, runs); err != nil {
+	if err := d.config.Peers.ReportPlacedCalls(ctx, leader.Address, placedCalls); err != nil {
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
-			Str("leader", leader.Name).Int("runs", int64(len(runs))).Err(err).Send()
+			Str("leader", leader.Name).Int("runs", int64(len(placedCalls))).Err(err).Send()
 		return
 	}
 	d.mu.Lock()
@@ -227,18 +227,18 @@
 // sendEnds sends the queued reports to the leader and queues them again when that fails.
 func (d *Delegate) sendEnds(ctx context.Context, leader turmericwall.Member) {
 	d.mu.Lock()
-	ends := d.pendingEnds
-	d.pendingEnds = nil
+	updates := d.pendingUpdates
+	d.pendingUpdates = nil
 	d.mu.Unlock()
-	if len(ends) == 0 {
+	if len(updates) == 0 {
 		return
 	}
-	if err := d.config.Peers.Finish(ctx, leader.Address, ends); err != nil {
+	if err := d.config.Peers.SendUpdates(ctx, leader.Address, updates); err != nil {
 		d.config.Recorder.Record(turmericwall.EventLeaderUnreachable).
-			Str("leader", leader.Name).Int("ends", int64(len(ends))).Err(err).Send()
+			Str("leader", leader.Name).Int("ends", int64(len(updates))).Err(err).Send()
 		d.mu.Lock()
-		if len(d.pendingEnds)+len(ends) < maxPendingEnds {
-			d.pendingEnds = append(ends, d.pendingEnds...)
+		if len(d.pendingUpdates)+len(updates) < maxPendingEnds {
+			d.pendingUpdates = append(updates, d.pendingUpdates...)
 		}
 		d.mu.Unlock()
 	}
--- a/internal/placement/twdelegate/delegate_test.go
+++ b/internal/placement/twdelegate/delegate_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
-	"github.com/turmericwall/turmericwall/internal/placement/twbooks"
+	"github.com/turmericwall/turmericwall/internal/placement/twallocator"
 	"github.com/turmericwall/turmericwall/internal/placement/twcoordinator"
 	"github.com/turmericwall/turmericwall/internal/placement/twdelegate"
 )
@@ -20,41 +20,41 @@
 // fakeLeader is the leader's side of the calls between daemons.
 type fakeLeader struct {
 	turmericwall.PeerClient
-	mu      sync.Mutex
-	place   func(ctx context.Context) (turmericwall.Placement, error)
-	ended   []turmericwall.PlacementEnd
-	runs    []turmericwall.PlacedRun
-	reports int
-	failing bool
+	mu          sync.Mutex
+	place       func(ctx context.Context) (turmericwall.Placement, error)
+	ended       []turmericwall.PlacementUpdate
+	placedCalls []turmericwall.PlacedCall
+	reports     int
+	failing     bool
 }
 
 func (l *fakeLeader) Place(
-	ctx context.Context, _ string, request turmericwall.PlaceAsk,
+	ctx context.Context, _ string, request turmericwall.PlaceRequest,
 ) (turmericwall.Placement, error) {
 	p, err := l.place(ctx)
 	p.ID = request.ID
 	return p, err
 }
 
-func (l *fakeLeader) Finish(_ context.Context, _ string, ends []turmericwall.PlacementEnd) error {
+func (l *fakeLeader) SendUpdates(_ context.Context, _ string, updates []turmericwall.PlacementUpdate) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failing {
 		return errors.New("leader unreachable")
 	}
-	l.ended = append(l.ended, ends...)
+	l.ended = append(l.ended, updates...)
 	return nil
 }
 
-func (l *fakeLeader) Admit(context.Context, string, turmericwall.AdmitAsk) (turmericwall.AdmitReply, error) {
+func (l *fakeLeader) Admit(context.Context, string, turmericwall.AdmitRequest) (turmericwall.AdmitReply, error) {
 	return turmericwall.AdmitReply{}, nil
 }
 
-func (l *fakeLeader) Runs(_ context.Context, _ string, runs []turmericwall.PlacedRun) error {
+func (l *fakeLeader) ReportPlacedCalls(_ context.Context, _ string, placedCalls []turmericwall.PlacedCall) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports++
-	l.runs = runs
+	l.placedCalls = placedCalls
 	return nil
 }
 
@@ -63,8 +63,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	oldest := int64(0)
-	for _, run := range l.runs {
-		oldest = max(oldest, run.AgeMillis)
+	for _, placed := range l.placedCalls {
+		oldest = max(oldest, placed.AgeMillis)
 	}
 	return oldest
 }
@@ -72,7 +72,7 @@
 func (l *fakeLeader) counts() (ended, runs, reports int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.ended), len(l.runs), l.reports
+	return len(l.ended), len(l.placedCalls), l.reports
 }
 
 // fixture is a running delegate with a fake leader, which is current while live is set.
@@ -99,19 +99,19 @@
 		{ID: "d", Service: "s", Slots: 4, Role: turmericwall.RoleDecode},
 	}
 	own := twcoordinator.New(twcoordinator.Config{
-		Open:      func(turmericwall.UpstreamKey) bool { return true },
-		Tuning:    twbooks.DefaultTuning(),
-		Upstreams: func(string) []turmericwall.Upstream { return engines },
+		AcceptsCalls: func(turmericwall.UpstreamKey) bool { return true },
+		Tuning:       twallocator.DefaultTuning(),
+		Upstreams:    func(string) []turmericwall.Upstream { return engines },
 		Service: func(string) (turmericwall.ServicePlan, bool) {
 			return turmericwall.ServicePlan{
 				Engine: &turmericwall.EnginePlan{Slots: 4, MemoryTokens: 50_000, TokensPerEvent: 50},
 			}, true
 		},
-		Keeping: func() bool { return false },
-		Away:    func(time.Time, turmericwall.Upstream) bool { return false },
+		IsLeader:     func() bool { return false },
+		ChangingRole: func(time.Time, turmericwall.Upstream) bool { return false },
 	})
 	s.delegate = twdelegate.New(twdelegate.Config{
-		Own: own, Peers: s.leader, Owner: "me", Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
+		Local: own, Peers: s.leader, Owner: "me", Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 		Leader: func() (turmericwall.Member, bool, bool) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -125,9 +125,9 @@
 	return s
 }
 
-func placeRequest(id string) turmericwall.PlaceAsk {
+func placeRequest(id string) turmericwall.PlaceRequest {
 	now := time.Now()
-	return turmericwall.PlaceAsk{
+	return turmericwall.PlaceRequest{
 		ID: id, Service: "s", Owner: "me",
 		Work:           turmericwall.ModelWork{PromptTokens: 2000, HintTokens: 500, MaxTokens: 1000},
 		TargetDeadline: now.Add(time.Second), GiveUpDeadline: now.Add(5 * time.Second),
@@ -144,7 +144,7 @@
 	p, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(p.Reason).To(Equal("leader"))
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s"})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s"})
 	g.Eventually(func() int { ended, _, _ := s.leader.counts(); return ended }).Should(Equal(1))
 }
 
@@ -152,7 +152,7 @@
 	g := NewWithT(t)
 	s := newFixture(t)
 	s.leader.place = func(context.Context) (turmericwall.Placement, error) {
-		return turmericwall.Placement{}, turmericwall.Refused(turmericwall.Refusal{Reason: "full"})
+		return turmericwall.Placement{}, turmericwall.NewRefusalProblem(turmericwall.Refusal{Reason: "full"})
 	}
 	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(turmericwall.IsKind(err, turmericwall.KindOverloaded)).To(BeTrue())
@@ -164,13 +164,13 @@
 	g := NewWithT(t)
 	s := newFixture(t)
 	s.leader.place = func(context.Context) (turmericwall.Placement, error) {
-		return turmericwall.Placement{Decode: turmericwall.Upstream{ID: "d"}, ReadDeadline: time.Now()}, nil
+		return turmericwall.Placement{Decode: turmericwall.Upstream{ID: "d"}, PrefillEndsAt: time.Now()}, nil
 	}
 	_, err := s.delegate.Place(context.Background(), placeRequest("1/0"))
 	g.Expect(err).NotTo(HaveOccurred())
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, PromptRead: true})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s", Running: true, Prefilled: true})
 	time.Sleep(300 * time.Millisecond)
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s", Running: true, Paused: true})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s", Running: true, EventGapExceeded: true})
 	s.setLeader("next", true)
 	g.Eventually(s.leader.oldestMillis, "2s").Should(BeNumerically(">=", 300))
 }
@@ -219,7 +219,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	s.setLeader("next", true)
 	g.Eventually(func() int { _, runs, _ := s.leader.counts(); return runs }).Should(Equal(1))
-	g.Expect(s.leader.runs[0].Engine).To(Equal("d"))
+	g.Expect(s.leader.placedCalls[0].Engine).To(Equal("d"))
 	g.Consistently(func() int { _, _, reports := s.leader.counts(); return reports }, 300*time.Millisecond).
 		Should(Equal(1))
 }
@@ -230,7 +230,7 @@
 	s.leader.mu.Lock()
 	s.leader.failing = true
 	s.leader.mu.Unlock()
-	s.delegate.Finish(turmericwall.PlacementEnd{ID: "1/0", Service: "s"})
+	s.delegate.ApplyUpdate(turmericwall.PlacementUpdate{ID: "1/0", Service: "s"})
 	g.Consistently(func() int { ended, _, _ := s.leader.counts(); return ended }, 150*time.Millisecond).Should(BeZero())
 	s.leader.mu.Lock()
 	s.leader.failing = false
--- a/internal/placement/twinventory/inventory.go
+++ b/internal/placement/twinventory/inventory.go
@@ -20,10 +20,10 @@
 type Config struct {
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
-	Upstreams turmericwall.Upstreams
-	// Keeps records the prompts that an engine has cached.
-	Keeps    func(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.KeptPrompt)
-	Recorder turmericwall.Recorder
+	Upstreams turmericwall.UpstreamClient
+	// RecordCachedPrompts records the prompts that an engine has cached.
+	RecordCachedPrompts func(service string, engine turmericwall.UpstreamKey, prompts []turmericwall.CachedPrompt)
+	Recorder            turmericwall.Recorder
 }
 
 // Inventory queries the cached prompts of the decode engines.
@@ -32,24 +32,24 @@
 	requested chan struct{}
 }
 
-// New returns an inventory. Nothing is queried before Run and Want.
+// New returns an inventory. Nothing is queried before Run and RequestRefresh.
 func New(config Config) *Inventory {
 	return &Inventory{config: config, requested: make(chan struct{}, 1)}
 }
 
-// Want starts one query of all engines; it never blocks.
+// RequestRefresh starts one query of all engines; it never blocks.
 //
 // A new leader does not know the callers that its predecessor served. After a power failure they all retry at once.
 // Their prompts are still cached, but a leader that does not know this has them prefilled again, ahead of those of new
 // calls.
-func (i *Inventory) Want() {
+func (i *Inventory) RequestRefresh() {
 	select {
 	case i.requested <- struct{}{}:
 	default:
 	}
 }
 
-// Run queries the engines whenever Want was called, until ctx is done.
+// Run queries the engines whenever RequestRefresh was called, until ctx is done.
 func (i *Inventory) Run(ctx context.Context) error {
 	for {
 		select {
@@ -96,10 +96,10 @@
 func (i *Inventory) query(ctx context.Context, engine turmericwall.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	prompts, err := i.config.Upstreams.Kept(ctx, engine)
+	prompts, err := i.config.Upstreams.CachedPrompts(ctx, engine)
 	if err != nil {
 		i.config.Recorder.Record(turmericwall.EventEngineUnreachable).Str("upstream", engine.ID).Err(err).Send()
 		return
 	}
-	i.config.Keeps(engine.Service, engine.Key(), prompts)
+	i.config.RecordCachedPrompts(engine.Service, engine.Key(), prompts)
 }
--- a/internal/placement/twordering/orders.go
+++ b/internal/placement/twroleorders/sender.go
@@ -1,6 +1,6 @@
-// Package twordering sends role orders to engines. While this daemon is the leader, it plans the roles of each
+// Package twroleorders sends role orders to engines. While this daemon is the leader, it plans the roles of each
 // service's engines at short intervals and orders the engines that are due to change; no request waits for it.
-package twordering
+package twroleorders
 
 import (
 	"context"
@@ -19,37 +19,37 @@
 	orderTimeout = 600 * time.Millisecond
 )
 
-// Config holds the dependencies of the orders.
+// Config holds the dependencies of a Sender.
 type Config struct {
 	Services  func() []turmericwall.ServicePlan
 	Engines   func(service string) []turmericwall.Upstream
-	Upstreams turmericwall.Upstreams
+	Upstreams turmericwall.UpstreamClient
 	// Fence returns the fencing token; ok is false while this daemon does not hold the lease and must not order.
-	Fence func() (int64, bool)
-	Need  func(service string) turmericwall.EngineNeed
-	// Changed is called for an engine that accepted an order; until is when its change has finished at the latest.
-	Changed func(id string, role turmericwall.Role, until time.Time)
+	Fence        func() (int64, bool)
+	EngineDemand func(service string) turmericwall.EngineDemand
+	// OnAccepted is called for an engine that accepted an order; until is when its change has finished at the latest.
+	OnAccepted func(id string, role turmericwall.Role, until time.Time)
 	// Holder is the name of this daemon, which each order carries with the fencing token.
 	Holder   string
 	Tuning   twroles.Tuning
 	Recorder turmericwall.Recorder
 }
 
-// Orders plans and orders the role changes of all services.
-type Orders struct {
+// Sender plans and orders the role changes of all services.
+type Sender struct {
 	config Config
 	// mu guards planners: calls are placed while orders are sent.
 	mu       sync.Mutex
 	planners map[string]*twroles.Planner
 }
 
-// New returns orders; none is sent before Run.
-func New(config Config) *Orders {
-	return &Orders{config: config, planners: make(map[string]*twroles.Planner)}
+// New returns a Sender; no order is sent before Run.
+func New(config Config) *Sender {
+	return &Sender{config: config, planners: make(map[string]*twroles.Planner)}
 }
 
 // Run sends the orders that are due until ctx is done. Without the lease it discards its plans.
-func (o *Orders) Run(ctx context.Context) error {
+func (s *Sender) Run(ctx context.Context) error {
 	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
@@ -58,29 +58,29 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if _, ok := o.config.Fence(); !ok {
-			o.mu.Lock()
-			clear(o.planners)
-			o.mu.Unlock()
+		if _, ok := s.config.Fence(); !ok {
+			s.mu.Lock()
+			clear(s.planners)
+			s.mu.Unlock()
 			continue
 		}
-		for _, service := range o.config.Services() {
+		for _, service := range s.config.Services() {
 			if service.Engine != nil {
-				o.orderChanges(ctx, service)
+				s.orderChanges(ctx, service)
 			}
 		}
 	}
 }
 
-func (o *Orders) orderChanges(ctx context.Context, service turmericwall.ServicePlan) {
-	for _, change := range o.planChanges(service) {
-		accepted, err := o.sendOrder(ctx, change)
-		o.recordOutcome(service.Name, change, accepted, err)
-		entry := o.config.Recorder.Record(turmericwall.EventRoleOrdered).
+func (s *Sender) orderChanges(ctx context.Context, service turmericwall.ServicePlan) {
+	for _, change := range s.planChanges(service) {
+		accepted, err := s.sendOrder(ctx, change)
+		s.recordOutcome(service.Name, change, accepted, err)
+		entry := s.config.Recorder.Record(turmericwall.EventRoleOrdered).
 			Str("upstream", change.Upstream.ID).Str("role", string(change.Role)).
 			Int("prefills", int64(change.Prefills)).Int("decodes", int64(change.Decodes)).
-			Int("readMicros", int64(change.Cost.ReadMillis*1000)).
-			Int("answerMicros", int64(change.Cost.AnswerMillis*1000))
+			Int("readMicros", int64(change.Cost.PrefillMillis*1000)).
+			Int("answerMicros", int64(change.Cost.DecodeMillis*1000))
 		if err != nil {
 			entry = entry.Err(err)
 		}
@@ -91,30 +91,30 @@
 	}
 }
 
-// planChanges reads the engines and the need before it locks mu. Placement holds a lock that Need waits for while it
-// checks which engines are changing their role.
-func (o *Orders) planChanges(service turmericwall.ServicePlan) []twroles.Change {
-	engines, need := o.config.Engines(service.Name), o.config.Need(service.Name)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	planner, ok := o.planners[service.Name]
+// planChanges reads the engines and the demand before it locks mu. Placement holds a lock that EngineDemand waits for
+// while it checks which engines are changing their role.
+func (s *Sender) planChanges(service turmericwall.ServicePlan) []twroles.Change {
+	engines, demand := s.config.Engines(service.Name), s.config.EngineDemand(service.Name)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	planner, ok := s.planners[service.Name]
 	if !ok {
-		planner = twroles.New(o.config.Tuning)
-		o.planners[service.Name] = planner
+		planner = twroles.New(s.config.Tuning)
+		s.planners[service.Name] = planner
 	}
-	return planner.Plan(time.Now(), *service.Engine, engines, need)
+	return planner.Plan(time.Now(), *service.Engine, engines, demand)
 }
 
 // recordOutcome records whether the engine accepted the order. An order without a reply may still be carried out
 // seconds later: the planner keeps counting the engine as changing, but the engine continues to get calls.
-func (o *Orders) recordOutcome(service string, change twroles.Change, accepted bool, err error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	planner, ok := o.planners[service]
+func (s *Sender) recordOutcome(service string, change twroles.Change, accepted bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	planner, ok := s.planners[service]
 	switch {
 	case !ok || err != nil:
 	case accepted:
-		o.config.Changed(change.Upstream.ID, change.Role, change.Until)
+		s.config.OnAccepted(change.Upstream.ID, change.Role, change.Until)
 	default:
 		planner.DiscardChange(change.Upstream.ID)
 	}
@@ -122,21 +122,21 @@
 
 // sendOrder sends one order. It first reads how many orders the engine has accepted and sends that number along, so
 // that the engine refuses an order that arrives late, after another one.
-func (o *Orders) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
+func (s *Sender) sendOrder(ctx context.Context, change twroles.Change) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	load, err := o.config.Upstreams.Load(ctx, change.Upstream)
+	load, err := s.config.Upstreams.FetchLoad(ctx, change.Upstream)
 	if err != nil {
 		return false, err
 	}
-	if load.Changing || load.Role == change.Role {
+	if load.ChangingRole || load.Role == change.Role {
 		return false, nil
 	}
-	fence, ok := o.config.Fence()
+	fence, ok := s.config.Fence()
 	if !ok {
 		return false, nil
 	}
-	return o.config.Upstreams.ChangeRole(ctx, change.Upstream, turmericwall.RoleOrder{
-		Role: change.Role, Holder: o.config.Holder, Fence: fence, OrderCount: load.OrderCount,
+	return s.config.Upstreams.ChangeRole(ctx, change.Upstream, turmericwall.RoleOrder{
+		Role: change.Role, Holder: s.config.Holder, Fence: fence, OrderCount: load.OrderCount,
 	})
 }
--- a/internal/placement/twordering/orders_test.go
+++ b/internal/placement/twroleorders/sender_test.go
@@ -1,4 +1,4 @@
-package twordering_test
+package twroleorders_test
 
 import (
 	"context"
@@ -11,21 +11,21 @@
 
 	"github.com/turmericwall/turmericwall"
 	"github.com/turmericwall/turmericwall/internal/operations/tweventlog"
-	"github.com/turmericwall/turmericwall/internal/placement/twaway"
-	"github.com/turmericwall/turmericwall/internal/placement/twordering"
+	"github.com/turmericwall/turmericwall/internal/placement/twrolechange"
+	"github.com/turmericwall/turmericwall/internal/placement/twroleorders"
 	"github.com/turmericwall/turmericwall/internal/placement/twroles"
 )
 
 // engines accepts role orders and implements no other call.
 type engines struct {
-	turmericwall.Upstreams
+	turmericwall.UpstreamClient
 	orders      chan turmericwall.RoleOrder
-	roleChanges *twaway.Away
+	roleChanges *twrolechange.RoleChanges
 	// orderErr is returned for each order.
 	orderErr error
 }
 
-func (e *engines) Load(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
+func (e *engines) FetchLoad(context.Context, turmericwall.Upstream) (turmericwall.EngineLoad, error) {
 	return turmericwall.EngineLoad{Role: turmericwall.RolePrefill, OrderCount: 3}, nil
 }
 
@@ -41,21 +41,21 @@
 		{ID: "b", Role: turmericwall.RolePrefill},
 		{ID: "c", Role: turmericwall.RoleDecode},
 	}
-	o := twordering.New(twordering.Config{
+	s := twroleorders.New(twroleorders.Config{
 		Services: func() []turmericwall.ServicePlan {
 			return []turmericwall.ServicePlan{{Name: "s", Engine: &turmericwall.EnginePlan{RoleChangeMillis: 500}}}
 		},
 		Engines: func(string) []turmericwall.Upstream { return list }, Upstreams: e, Fence: fence,
-		Need: func(string) turmericwall.EngineNeed {
+		EngineDemand: func(string) turmericwall.EngineDemand {
 			onNeed()
-			return turmericwall.EngineNeed{}
+			return turmericwall.EngineDemand{}
 		},
-		Changed: e.roleChanges.Note, Holder: "me", Tuning: twroles.DefaultTuning(),
+		OnAccepted: e.roleChanges.Add, Holder: "me", Tuning: twroles.DefaultTuning(),
 		Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- o.Run(ctx) }()
+	go func() { done <- s.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		select {
@@ -66,12 +66,12 @@
 }
 
 func newEngines() *engines {
-	return &engines{orders: make(chan turmericwall.RoleOrder, 10), roleChanges: twaway.New()}
+	return &engines{orders: make(chan turmericwall.RoleOrder, 10), roleChanges: twrolechange.New()}
 }
 
 // isChangingRole reports whether the engine, which still reports its old role, counts as changing it.
 func (e *engines) isChangingRole(id string) bool {
-	return e.roleChanges.Is(time.Now(), turmericwall.Upstream{ID: id, Role: turmericwall.RolePrefill})
+	return e.roleChanges.IsChangingRole(time.Now(), turmericwall.Upstream{ID: id, Role: turmericwall.RolePrefill})
 }
 
 // Calls are placed while roles are planned. Placement holds its own lock while it checks which engines are changing.
--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -1,5 +1,5 @@
 // Package twroles decides how many engines of a service prefill and how many decode, and which engines change their
-// role. The leader plans with it between requests; twordering sends the resulting orders to the engines.
+// role. The leader plans with it between requests; twroleorders sends the resulting orders to the engines.
 package twroles
 
 import (
@@ -79,7 +79,7 @@
 // An engine serves no calls while it changes its role. While calls are under way, an engine therefore changes only if
 // that raises what all engines together can serve, and if its pool can spare it during the change.
 func (r *Planner) Plan(
-	now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, need turmericwall.EngineNeed,
+	now time.Time, plan turmericwall.EnginePlan, engines []turmericwall.Upstream, demand turmericwall.EngineDemand,
 ) []Change {
 	r.trackPresence(now, engines)
 	if !r.settled(now, len(engines)) {
@@ -88,7 +88,7 @@
 	p := r.buildPools(now, engines)
 	var changes []Change
 	for {
-		role, ok := r.nextRole(p, need)
+		role, ok := r.nextRole(p, demand)
 		if !ok {
 			break
 		}
@@ -99,7 +99,7 @@
 		until := now.Add(time.Duration(plan.RoleChangeMillis+roleReportDelayMillis) * time.Millisecond)
 		changes = append(changes, Change{
 			Upstream: u, Role: role, Prefills: p.final.Prefills, Decodes: p.final.Decodes, Until: until,
-			Cost: need.Cost,
+			Cost: demand.Cost,
 		})
 		r.pendingChanges[u.ID] = change{role: role, until: until}
 		p.final = p.final.Moved(role)
@@ -108,20 +108,21 @@
 }
 
 // nextRole returns the role that one more engine should take; ok is false if the split should stay.
-func (r *Planner) nextRole(p *pools, need turmericwall.EngineNeed) (turmericwall.Role, bool) {
-	if !need.Known {
-		return r.nextRoleByShare(p.final, need.Busy)
+func (r *Planner) nextRole(p *pools, demand turmericwall.EngineDemand) (turmericwall.Role, bool) {
+	if !demand.CostKnown {
+		return r.nextRoleByShare(p.final, demand.Busy)
 	}
 	for _, role := range []turmericwall.Role{turmericwall.RolePrefill, turmericwall.RoleDecode} {
-		if need.Busy && !p.needsEngine(role, need) {
+		if demand.Busy && !p.needsEngine(role, demand) {
 			continue
 		}
 		gain := 0.0
-		if need.Busy {
+		if demand.Busy {
 			gain = r.tuning.MinGain
 		}
-		best := p.final.Best(role, need.Cost)
-		if best.Worth(need.Cost) > p.final.Worth(need.Cost)*(1+gain) && (!need.Busy || p.canSpare(role, need.Cost)) {
+		best := p.final.Best(role, demand.Cost)
+		if best.Score(demand.Cost) > p.final.Score(demand.Cost)*(1+gain) &&
+			(!demand.Busy || p.canSpare(role, demand.Cost)) {
 			return role, true
 		}
 	}
@@ -131,11 +132,11 @@
 // needsEngine reports whether the role should get an engine while calls are under way: it has none; or for prefill,
 // calls find no prefill engine in time and decode engines have a surplus; or for decode, prefill engines have a
 // surplus.
-func (p *pools) needsEngine(role turmericwall.Role, need turmericwall.EngineNeed) bool {
+func (p *pools) needsEngine(role turmericwall.Role, demand turmericwall.EngineDemand) bool {
 	if role == turmericwall.RolePrefill {
-		return (need.Readers.Short && need.Answerers.Spare) || p.final.Prefills == 0
+		return (demand.Prefill.Shortage && demand.Decode.Surplus) || p.final.Prefills == 0
 	}
-	return need.Readers.Spare || p.final.Decodes == 0
+	return demand.Prefill.Surplus || p.final.Decodes == 0
 }
 
 // nextRoleByShare returns the role that lacks engines while the cost of calls is unknown.
--- a/internal/placement/twroles/roles_test.go
+++ b/internal/placement/twroles/roles_test.go
@@ -15,22 +15,22 @@
 	start = time.Unix(1000, 0)
 	plan  = turmericwall.EnginePlan{RoleChangeMillis: 6000}
 	// idle is the need before any call arrived, busy that of calls whose cost is still unknown.
-	idle = turmericwall.EngineNeed{}
-	busy = turmericwall.EngineNeed{Busy: true}
+	idle = turmericwall.EngineDemand{}
+	busy = turmericwall.EngineDemand{Busy: true}
 	// decodeHeavy and prefillHeavy are costs at which one engine in four, and two in five, should prefill.
-	decodeHeavy  = turmericwall.CallCost{ReadMillis: 100, AnswerMillis: 300}
-	prefillHeavy = turmericwall.CallCost{ReadMillis: 200, AnswerMillis: 300}
+	decodeHeavy  = turmericwall.CallCost{PrefillMillis: 100, DecodeMillis: 300}
+	prefillHeavy = turmericwall.CallCost{PrefillMillis: 200, DecodeMillis: 300}
 )
 
 // busyNeed is the need of calls with the given cost.
-func busyNeed(cost turmericwall.CallCost, readers, answerers turmericwall.RoleNeed) turmericwall.EngineNeed {
-	return turmericwall.EngineNeed{Busy: true, Known: true, Cost: cost, Readers: readers, Answerers: answerers}
+func busyNeed(cost turmericwall.CallCost, prefill, decode turmericwall.RoleDemand) turmericwall.EngineDemand {
+	return turmericwall.EngineDemand{Busy: true, CostKnown: true, Cost: cost, Prefill: prefill, Decode: decode}
 }
 
 var (
-	shortage = turmericwall.RoleNeed{Short: true}
-	surplus  = turmericwall.RoleNeed{Spare: true}
-	balanced = turmericwall.RoleNeed{}
+	shortage = turmericwall.RoleDemand{Shortage: true}
+	surplus  = turmericwall.RoleDemand{Surplus: true}
+	balanced = turmericwall.RoleDemand{}
 )
 
 func engines(prefills, decodes int) []turmericwall.Upstream {
@@ -81,10 +81,10 @@
 func TestACrashAtThePeakMovesNoEngine(t *testing.T) {
 	g := NewWithT(t)
 	r, at := settledPlanner(engines(4, 14))
-	need := busyNeed(decodeHeavy, balanced, shortage)
-	g.Expect(r.Plan(at, plan, engines(4, 10), need)).To(BeEmpty())
-	g.Expect(r.Plan(at.Add(4*time.Second), plan, engines(4, 14), need)).To(BeEmpty())
-	g.Expect(r.Plan(at.Add(8*time.Second), plan, engines(3, 14), need)).To(BeEmpty())
+	demand := busyNeed(decodeHeavy, balanced, shortage)
+	g.Expect(r.Plan(at, plan, engines(4, 10), demand)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(4*time.Second), plan, engines(4, 14), demand)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(8*time.Second), plan, engines(3, 14), demand)).To(BeEmpty())
 }
 
 // A prefill engine crashes, and the others cannot prefill all calls in time. Its next incarnation registers under
@@ -93,13 +93,13 @@
 	g := NewWithT(t)
 	list := engines(4, 12)
 	r, at := settledPlanner(list)
-	need := busyNeed(decodeHeavy, shortage, surplus)
-	r.Plan(at, plan, list, need)
-	g.Expect(r.Plan(at.Add(time.Second), plan, list[1:], need)).To(BeEmpty())
+	demand := busyNeed(decodeHeavy, shortage, surplus)
+	r.Plan(at, plan, list, demand)
+	g.Expect(r.Plan(at.Add(time.Second), plan, list[1:], demand)).To(BeEmpty())
 	restarted := list[0]
 	restarted.ID = "new"
-	g.Expect(r.Plan(at.Add(2*time.Second), plan, append(list[1:], restarted), need)).To(BeEmpty())
-	g.Expect(r.Plan(at.Add(8*time.Second), plan, append(list[1:], restarted), need)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(2*time.Second), plan, append(list[1:], restarted), demand)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(8*time.Second), plan, append(list[1:], restarted), demand)).To(BeEmpty())
 }
 
 // Two of three prefill engines announce at the peak that they leave. The decode engines have a surplus, so two of them
@@ -108,13 +108,13 @@
 	g := NewWithT(t)
 	list := engines(3, 9)
 	r, at := settledPlanner(list)
-	need := busyNeed(decodeHeavy, shortage, surplus)
-	g.Expect(r.Plan(at, plan, list, need)).To(BeEmpty())
+	demand := busyNeed(decodeHeavy, shortage, surplus)
+	g.Expect(r.Plan(at, plan, list, demand)).To(BeEmpty())
 	list[0].Leaving, list[1].Leaving = true, true
-	changes := r.Plan(at.Add(time.Second), plan, list, need)
+	changes := r.Plan(at.Add(time.Second), plan, list, demand)
 	g.Expect(changes).To(HaveLen(2))
 	g.Expect(changes[0].Role).To(Equal(turmericwall.RolePrefill))
-	g.Expect(r.Plan(at.Add(2*time.Second), plan, list, need)).To(BeEmpty())
+	g.Expect(r.Plan(at.Add(2*time.Second), plan, list, demand)).To(BeEmpty())
 }
 
 // The peak needs engines of both roles. A decode engine ordered to prefill would be unavailable when it is needed
@@ -171,20 +171,22 @@
 func TestTheSplitFollowsTheLoadAtAllSizes(t *testing.T) {
 	g := NewWithT(t)
 	for _, total := range []int{3, 6, 12, 18, 60} {
-		for _, cost := range []turmericwall.CallCost{decodeHeavy, prefillHeavy, {ReadMillis: 300, AnswerMillis: 100}} {
+		for _, cost := range []turmericwall.CallCost{
+			decodeHeavy, prefillHeavy, {PrefillMillis: 300, DecodeMillis: 100},
+		} {
 			list := engines(total/2, total-total/2)
 			r, at := settledPlanner(list)
-			need := busyNeed(cost, surplus, surplus)
-			need.Busy = false
+			demand := busyNeed(cost, surplus, surplus)
+			demand.Busy = false
 			prefills := total / 2
-			for _, c := range r.Plan(at, plan, list, need) {
+			for _, c := range r.Plan(at, plan, list, demand) {
 				if c.Role == turmericwall.RolePrefill {
 					prefills++
 				} else {
 					prefills--
 				}
 			}
-			wantPrefills := float64(total) * cost.ReadMillis / (cost.ReadMillis + cost.AnswerMillis)
+			wantPrefills := float64(total) * cost.PrefillMillis / (cost.PrefillMillis + cost.DecodeMillis)
 			g.Expect(prefills).To(BeNumerically("~", wantPrefills, 1), "%d engines, %+v", total, cost)
 			g.Expect(prefills).To(And(BeNumerically(">", 0), BeNumerically("<", total)))
 		}
