--- a/events.go
+++ b/events.go
@@ -40,7 +40,7 @@
 	EventPeerLost           EventID = 7002
 	EventVMListUnreadable   EventID = 7003
 	EventVMLeaving          EventID = 7004
-	EventLeaderHeard        EventID = 7005
+	EventLeaderObserved     EventID = 7005
 	EventLeaderChanged      EventID = 7006
 	EventLeaseUnreadable    EventID = 7007
 	EventRoleOrdered        EventID = 7008
@@ -91,7 +91,7 @@
 	EventPeerLost:           "Peer lost",
 	EventVMListUnreadable:   "VM list unreadable",
 	EventVMLeaving:          "VM leaving",
-	EventLeaderHeard:        "Leader heard",
+	EventLeaderObserved:     "Leader heard",
 	EventLeaderChanged:      "Leader changed",
 	EventLeaseUnreadable:    "Lease unreadable",
 	EventRoleOrdered:        "Role ordered",
--- a/internal/membership/twcluster/cluster.go
+++ b/internal/membership/twcluster/cluster.go
@@ -105,8 +105,8 @@
 	// copiedVersion is the version of the leader's list of members that this daemon has copied.
 	copiedVersion int64
 	standbys      []turmericwall.Member
-	// wasFresh is the last result of FollowsFreshLeader, so that only changes are logged.
-	wasFresh bool
+	// wasInformed is the last result of FollowsFreshLeader, so that only changes are logged.
+	wasInformed bool
 	// fetchRequests holds the daemon from which state has to be fetched next.
 	fetchRequests chan turmericwall.Member
 	// sendNow triggers the next round of heartbeats without waiting for heartbeatInterval.
@@ -157,7 +157,7 @@
 	}
 	if heartbeat.Leader != c.heartbeat.Leader {
 		c.copiedVersion = 0
-		c.config.Recorder.Record(turmericwall.EventLeaderHeard).
+		c.config.Recorder.Record(turmericwall.EventLeaderObserved).
 			Str("leader", heartbeat.Leader.Name).Int("term", heartbeat.Term).Send()
 	}
 	c.heartbeat = heartbeat
@@ -204,8 +204,8 @@
 	defer c.mu.Unlock()
 	age := time.Since(c.lastHeartbeatAt) + time.Duration(c.heartbeat.StateAgeMillis)*time.Millisecond
 	informed := leaderLive && age < c.config.Staleness
-	if informed != c.wasFresh {
-		c.wasFresh = informed
+	if informed != c.wasInformed {
+		c.wasInformed = informed
 		event := turmericwall.EventLeaderStale
 		if informed {
 			event = turmericwall.EventInformedByLeader
--- a/internal/membership/twcluster/proof_test.go
+++ b/internal/membership/twcluster/proof_test.go
@@ -68,7 +68,7 @@
 		proof := twproof.New(twproof.Config{Incarnation: "a1"})
 		return twcluster.New(twcluster.Config{
 			Self:  turmericwall.Member{Name: "a", Address: "a", Incarnation: "a1"},
-			Proof: proof, Peers: recording{sent: sent},
+			Proof: proof, Peers: recordingPeers{sent: sent},
 			Recorder: tweventlog.New(tweventlog.Config{Output: io.Discard}),
 			IsLeader: func() (int64, bool) { return 1, true },
 			ReadAt:   func() time.Time { return time.Time{} }, LeaseVersion: none, UpstreamsPosition: none,
@@ -90,13 +90,13 @@
 	g.Expect(first.ProofAgeMillis).To(BeEquivalentTo(-1))
 }
 
-// recording is a peer client that passes on the heartbeats that are sent and fails every call.
-type recording struct {
+// recordingPeers is a peer client that passes on the heartbeats that are sent and fails every call.
+type recordingPeers struct {
 	turmericwall.PeerClient
 	sent chan turmericwall.Heartbeat
 }
 
-func (r recording) Heartbeat(
+func (r recordingPeers) Heartbeat(
 	_ context.Context, _ string, heartbeat turmericwall.Heartbeat,
 ) (turmericwall.HeartbeatReply, error) {
 	select {
