--- a/internal/membership/twfleet/fleet.go
+++ b/internal/membership/twfleet/fleet.go
@@ -29,9 +29,9 @@
 	clock    clockwork.Clock
 	recorder turmericwall.Recorder
 
-	mu    sync.RWMutex
-	known bool
-	vms   map[string][]turmericwall.VM
+	mu      sync.RWMutex
+	hasList bool
+	vms     map[string][]turmericwall.VM
 	// leaving holds the names of the VMs that this daemon's own list marks as leaving.
 	leaving map[string]bool
 	// peerLeavingUntil holds until when peers' reports that a VM is leaving are valid, by the VM's name.
@@ -75,11 +75,11 @@
 	return upstreams
 }
 
-// HasList reports whether a list was read, by this daemon or by a peer.
+// HasList reports whether this daemon has a list of VMs, read by itself or received from a peer.
 func (f *Fleet) HasList() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.known
+	return f.hasList
 }
 
 // All returns the VMs of the last list, in no particular order.
@@ -178,5 +178,5 @@
 			delete(f.peerLeavingUntil, name)
 		}
 	}
-	f.known, f.vms, f.leaving = true, vms, leaving
+	f.hasList, f.vms, f.leaving = true, vms, leaving
 }
