--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -22,7 +22,7 @@
 // Few peers cost little and spread heartbeats fast. With more peers, one peer in each round keeps the control traffic
 // within its limit.
 const (
-	// heartbeatInterval is the time between two rounds.
+	// heartbeatInterval is the time between two rounds of heartbeats.
 	heartbeatInterval = time.Second
 	// callTimeout is the time limit of a call that the peer answers without waiting.
 	callTimeout = time.Second
--- a/internal/membership/twproof/model_test.go
+++ b/internal/membership/twproof/model_test.go
@@ -179,7 +179,8 @@
 	t.Logf("%d sequences of %d events", total, depth)
 }
 
-// Guards against the same in long random runs of many daemons, and against refusals while heartbeats arrive.
+// Guards against a removed key that is admitted after maxAge in long random runs of many daemons, and against refused
+// keys while heartbeats arrive.
 func TestManyDaemonsAdmitKeysOnlyWhileHeartbeatsArrive(t *testing.T) {
 	for _, count := range []int{10, 82, 1000} {
 		for seed := range uint64(3) {
