--- a/internal/delivery/twbackoff/backoffs.go
+++ b/internal/delivery/twbackoff/backoffs.go
@@ -14,7 +14,8 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// maxBackoff bounds the back-off that an upstream can ask for, because it may have mistaken the unit.
+// maxBackoff bounds the back-off that an upstream can request, because the upstream may send the wrong unit, such as
+// milliseconds instead of seconds.
 const maxBackoff = time.Hour
 
 // maxRetrySeconds keeps a stated number of seconds from overflowing time.Duration.
--- a/internal/delivery/twrelay/fake_test.go
+++ b/internal/delivery/twrelay/fake_test.go
@@ -170,7 +170,7 @@
 	defer t.mu.Unlock()
 	if until, closed := t.closedUntil[upstream.ID]; closed {
 		return turmericwall.NewProblem(turmericwall.KindOverloaded, upstream.ID+" takes no more",
-			"retry after the delay in Retry-After").WithRetryAt(until)
+			"come back at the time given").WithRetryAt(until)
 	}
 	t.admitted[upstream.ID]++
 	return nil
--- a/internal/delivery/twrelay/model_test.go
+++ b/internal/delivery/twrelay/model_test.go
@@ -164,8 +164,8 @@
 	)
 }
 
-// The first calls after a start last for seconds. The placer needs their speed before they end, so that it can change
-// surplus prefill engines to decode before the load grows.
+// Guards against a placer without an estimate of the decode speed: the first answers after a start take seconds, and
+// the placer needs their speed earlier to change surplus prefill engines to decode before the load grows.
 func TestTheSpeedOfAnAnswerIsReportedBeforeItEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := newModelFixture(splitPlacement("d1"))
--- a/internal/delivery/twrelay/relay.go
+++ b/internal/delivery/twrelay/relay.go
@@ -55,7 +55,7 @@
 	// Daemon is the incarnation of this daemon.
 	Daemon string
 	Zone   string
-	// StopsAt returns when this daemon will terminate, and whether it has been told to stop; it may be nil.
+	// StopsAt returns when this daemon will terminate, and whether it has received a stop signal; it may be nil.
 	StopsAt func() (time.Time, bool)
 	// Observe receives the outcome of each call for the metrics; it may be nil.
 	Observe func(Outcome)
