--- a/clients.go
+++ b/clients.go
@@ -20,7 +20,7 @@
 	Burst     float64 `json:"burst,omitempty"`
 	// CountsTokens is set if a call is charged by its tokens.
 	CountsTokens bool `json:"countsTokens,omitempty"`
-	// DefaultTokens is the charge for a call that states no tokens.
+	// DefaultTokens is the charge, in tokens, for a call that does not state how many tokens it uses.
 	DefaultTokens int `json:"plainTokens,omitempty"`
 }
 
--- a/internal/edge/twedge/completions.go
+++ b/internal/edge/twedge/completions.go
@@ -84,7 +84,7 @@
 	return request, nil
 }
 
-// selectWork returns the work of that name, or the account's first work when the name is empty.
+// selectWork returns the account's work with the given name, or its first work when the name is empty.
 func selectWork(call call, name string) (*turmericwall.Work, error) {
 	if name == "" {
 		name = call.account.Work[0]
--- a/internal/once/twclaim/claims.go
+++ b/internal/once/twclaim/claims.go
@@ -20,7 +20,8 @@
 const (
 	// claimTimeout bounds the wait for a claim's row; after it the call is refused as not run.
 	claimTimeout = 3 * time.Second
-	// recordWait is how long an answer is held back until it is recorded; recording continues after it.
+	// recordWait is the longest time for which an answer waits to be recorded before it is returned; recording then
+	// continues in the background.
 	recordWait = 300 * time.Millisecond
 	// recordTimeout bounds the retries of one record while the store is unavailable.
 	recordTimeout       = 10 * time.Minute
--- a/internal/operations/twsettings/settings.go
+++ b/internal/operations/twsettings/settings.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// check returns a problem for the first invalid field. Each check returns the field and what is wrong with it.
+// check returns a problem for the first invalid field. Each function in checks returns the invalid field and what is
+// wrong with it, or two empty strings.
 func (s *Settings) check(name string) error {
 	checks := []func() (field, fault string){
 		s.checkNames, s.checkListeners, s.checkPlatform, s.checkTLS, s.checkLimits, s.checkChoices,
--- a/internal/placement/twallocator/callers.go
+++ b/internal/placement/twallocator/callers.go
@@ -30,7 +30,7 @@
 type caller struct {
 	firstAttemptAt time.Time
 	deadline       time.Time
-	// engine is the decode engine that answered last and may still have cachedTokens of the prompt in its cache.
+	// engine is the decode engine of the caller's last call. Its cache may still hold cachedTokens of the prompt.
 	engine       turmericwall.UpstreamKey
 	cachedTokens int
 	// lastUsedAt is when the engine last used the prompt, allocatedAtUse the engine's allocatedTokens at that time.
@@ -56,7 +56,7 @@
 	return now, false
 }
 
-// recordEngine records the decode engine that has the caller's prompt and answers it.
+// recordEngine records the decode engine that holds the caller's prompt and decodes its answer.
 func (c *callers) recordEngine(now time.Time, work turmericwall.ModelWork, e *engine) {
 	known, ok := c.bySubject[work.Subject]
 	if !ok {
--- a/internal/placement/twrouter/router.go
+++ b/internal/placement/twrouter/router.go
@@ -19,7 +19,7 @@
 	flushInterval     = 5 * time.Millisecond
 	maxPendingEndings = 4096
 	maxRemoteGrants   = 1 << 16
-	// avoidDuration is how long arrivals are not sent to a leader that did not answer.
+	// avoidDuration is how long the router sends no arrivals to a leader after it did not answer.
 	avoidDuration = 2 * time.Second
 )
 
--- a/internal/platform/twhttp/client.go
+++ b/internal/platform/twhttp/client.go
@@ -20,7 +20,7 @@
 // Limits of one call to the platform.
 const (
 	callTimeout = 2 * time.Second
-	// maxBodyBytes is the number of bytes that are read of a reply.
+	// maxBodyBytes is the largest number of bytes that are read from a reply's body.
 	maxBodyBytes = 64 << 20
 	maxIdleConns = 32
 )
