--- a/turmericwallstand/e2e/memory_test.go
+++ b/turmericwallstand/e2e/memory_test.go
@@ -14,7 +14,7 @@
 	"github.com/turmericwall/turmericwall/turmericwallstand/internal/twexample"
 )
 
-// longAnswer takes about eight seconds to decode.
+// longAnswer is the length in tokens of an answer that takes about eight seconds to decode.
 const longAnswer = 300
 
 var _ = Describe("engine memory", func() {
--- a/turmericwallstand/internal/twenginestand/engine.go
+++ b/turmericwallstand/internal/twenginestand/engine.go
@@ -230,7 +230,7 @@
 
 type connKey struct{}
 
-// numberConnection gives each new connection the next number, by which unresponsive connections are told apart.
+// numberConnection assigns each new connection the next number, which identifies unresponsive connections.
 func (e *Engine) numberConnection(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, e.conns.Add(1))
 }
