--- a/internal/admission/twquota/rate_bound_test.go
+++ b/internal/admission/twquota/rate_bound_test.go
@@ -204,8 +204,7 @@
 			}
 			// All values are fractions: of the bound, of the hot upstream's rate, and of the calls to the calm one.
 			t.Logf(
-				"at most %.2f of the bound, %.2f of the rate used; refused %.3f with leader, %.3f without; "+
-					"equal shares: at most %.2f of the bound, refused %.3f",
+				"%.2f of bound, %.2f of rate; refused %.3f with leader, %.3f without; equal shares: %.2f of bound, refused %.3f",
 				most, float64(hotCalls)/(40*c.rate*float64(c.seeds)),
 				float64(refused)/float64(calmCalls), float64(refusedLeaderless)/float64(max(calmCallsLeaderless, 1)),
 				mostEqual, float64(refusedEqual)/float64(calmCalls))
