--- a/internal/delivery/twrelay/stream.go
+++ b/internal/delivery/twrelay/stream.go
@@ -125,7 +125,7 @@
 			return readErr
 		}
 		if len(rest) > maxEventBytes {
-			return errors.New("an event of the stream is longer than 256 KiB")
+			return errors.New("an event of the stream is too long")
 		}
 	}
 }
