--- a/internal/membership/twexchange/calls.go
+++ b/internal/membership/twexchange/calls.go
@@ -77,7 +77,7 @@
 ) error {
 	address, ok := e.addressOf(incarnation)
 	if !ok {
-		return fmt.Errorf("no live daemon has incarnation %s; it may have restarted", incarnation)
+		return fmt.Errorf("daemon %s is not known here; it may have been replaced", incarnation)
 	}
 	return e.dialer.Call(ctx, address, timeout, call)
 }
