--- a/internal/admission/twquota/bound_test.go
+++ b/internal/admission/twquota/bound_test.go
@@ -86,8 +86,8 @@
 type outcome struct {
 	// hot is the account that exceeds its quota, calm the one that stays below it.
 	hot, calm unitsPerTick
-	// refused counts the calm account's calls that daemons with a leader refused, refusedLeaderless those that daemons
-	// without one refused, and calmCalls all of its calls.
+	// calmCalls is the number of the calm account's calls. refused is how many of them were refused by daemons that had
+	// a leader, refusedLeaderless how many by daemons that had none.
 	refused, refusedLeaderless, calmCalls int
 	// quotas are those in force in each tick.
 	quotas []turmericwall.Quota
