--- a/internal/membership/twexchange/exchange.go
+++ b/internal/membership/twexchange/exchange.go
@@ -220,7 +220,8 @@
 	return addresses[:min(fanout, len(addresses))]
 }
 
-// addresses returns the addresses of live members, of the platform's list and of the settings, each once.
+// addresses returns the addresses of all peers without duplicates: the live members, the daemons in the platform's list
+// and the seeds.
 func (e *Exchange) addresses() []string {
 	seen := map[string]bool{e.address: true}
 	var addresses []string
