--- a/internal/membership/twfleet/fleet.go
+++ b/internal/membership/twfleet/fleet.go
@@ -34,7 +34,7 @@
 	vms     map[string][]turmericwall.VM
 	// leaving holds the names of the VMs that this daemon's own list marks as leaving.
 	leaving map[string]bool
-	// peerLeavingUntil holds until when peers' reports that a VM is leaving are valid, by the VM's name.
+	// peerLeavingUntil maps a VM's name to the time until which a peer's report that the VM is leaving is valid.
 	peerLeavingUntil map[string]time.Time
 }
 
