--- a/internal/membership/twrates/rates.go
+++ b/internal/membership/twrates/rates.go
@@ -10,8 +10,8 @@
 	"github.com/turmericwall/turmericwall"
 )
 
-// shareDuration is how long a statement that this daemon received, or a lifted rate, is sent to peers: several
-// heartbeats.
+// shareDuration is how long a statement that this daemon received itself is sent to the leader, and how long the leader
+// reports a lifted rate to all daemons. It spans several heartbeats.
 const shareDuration = 5 * time.Second
 
 // statementRetention is how long the statement of an unlisted upstream is kept: its entry may lapse and be listed
