--- a/internal/membership/twupstreams/view.go
+++ b/internal/membership/twupstreams/view.go
@@ -52,8 +52,8 @@
 	changes []change
 	// historyStart is the position after which all changes are kept.
 	historyStart int64
-	// announced holds when incarnations announced in an answer that they leave. The registry's entries do not cancel
-	// it: an upstream that leaves may write its last entry late, or never.
+	// announced maps an incarnation to the time at which it first announced in an answer that it is leaving. The
+	// registry's entries do not cancel an announcement: a leaving upstream may write its last entry late, or never.
 	announced map[turmericwall.UpstreamKey]time.Time
 }
 
@@ -260,8 +260,9 @@
 	return v.position
 }
 
-// RecordAnnouncement records that an incarnation announced in an answer that it leaves, and marks it as leaving. first
-// reports whether this was not known. The position stays the same: followers count it by the registry's changes alone.
+// RecordAnnouncement records that an incarnation announced in an answer that it is leaving, and marks it as leaving.
+// first reports whether this was its first announcement. The position stays the same: followers count it by the
+// registry's changes alone.
 func (v *View) RecordAnnouncement(now time.Time, key turmericwall.UpstreamKey) (first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -276,8 +277,8 @@
 	return true
 }
 
-// AnnouncedLeaving returns the known incarnations that announced in an answer that they leave and that the registry
-// does not list as leaving yet.
+// AnnouncedLeaving returns the known incarnations that announced in an answer that they are leaving, but that the
+// registry does not list as leaving yet.
 func (v *View) AnnouncedLeaving() []turmericwall.UpstreamKey {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
