--- a/internal/once/twclaim/claims_test.go
+++ b/internal/once/twclaim/claims_test.go
@@ -189,7 +189,7 @@
 	r.ran = true
 	ran[key]++
 	if outcome == performFailsAfterSend {
-		return nil, errors.New("reset")
+		return nil, errors.New("connection reset after the call was sent")
 	}
 	return twclaim.NewAnswer(http.StatusOK, nil, []byte(key)), nil
 }
