--- a/internal/placement/twallocator/decide.go
+++ b/internal/placement/twallocator/decide.go
@@ -94,7 +94,8 @@
 // engines, and the others could not carry the load.
 const maxEjectedShare = 0.4
 
-// markEjected marks the engines that get no calls because calls failed there.
+// markEjected marks the engines that get no calls because earlier calls on them failed, up to maxEjectedShare of the
+// engines.
 func (a *Allocator) markEjected(now time.Time, engines []*engine) {
 	remaining := int(maxEjectedShare * float64(len(engines)))
 	for _, e := range engines {
@@ -105,7 +106,8 @@
 	}
 }
 
-// recordPlacement records that a call was placed on the engines: an ejected engine gets one trial call at a time.
+// recordPlacement records that a call was placed on the engines. For an engine that has not recovered from
+// a failure, it is the trial call, and the engine gets no other call while the trial is under way.
 func (a *Allocator) recordPlacement(now time.Time, engines ...*engine) {
 	for _, e := range engines {
 		a.ejections.RecordTrial(now, e.upstream.ID)
