--- a/internal/placement/twejection/ejections.go
+++ b/internal/placement/twejection/ejections.go
@@ -25,7 +25,7 @@
 type record struct {
 	failures      int
 	lastFailureAt time.Time
-	// ejectedUntil is when the first trial call may be placed, lastTrialAt when the last one was.
+	// ejectedUntil is when the first trial call may be placed, lastTrialAt when the latest trial call was placed.
 	ejectedUntil, lastTrialAt time.Time
 	// recovered is set when a call has succeeded since the last failure.
 	recovered bool
