--- a/internal/placement/twroles/roles.go
+++ b/internal/placement/twroles/roles.go
@@ -14,8 +14,8 @@
 // Tuning holds the limits of the decisions.
 type Tuning struct {
 	// DefaultPrefillShare is the share of prefill engines while too few calls have been measured to know their cost.
-	// It is rather high, because a prefill engine can change its role at once, a decode engine only after its longest
-	// answer.
+	// It is set high, because a prefill engine can change its role at once, but a decode engine must first finish its
+	// longest answer.
 	DefaultPrefillShare float64
 	// MinGain is the relative gain in what the engines can serve that all changes to one role together must bring.
 	MinGain float64
--- a/internal/placement/twroles/roles_test.go
+++ b/internal/placement/twroles/roles_test.go
@@ -78,7 +78,7 @@
 
 // Several engines crash at the peak and restart four seconds later. A role change takes six seconds, so the roles must
 // stay as they are.
-func TestACrashAtThePeakMovesNoEngine(t *testing.T) {
+func TestCrashAtPeakChangesNoRole(t *testing.T) {
 	g := NewWithT(t)
 	r, at := settledPlanner(engines(4, 14))
 	demand := busyNeed(decodeHeavy, balanced, shortage)
