--- a/internal/placement/twrouter/router.go
+++ b/internal/placement/twrouter/router.go
@@ -49,7 +49,7 @@
 	Recorder  turmericwall.Recorder
 }
 
-// New returns a router. Endings are sent only while Run runs.
+// New returns a router. It reports the ends of attempts to the leader only while Run is running.
 func New(config Config) *Router {
 	return &Router{
 		peers:           config.Peers,
